--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -23,9 +23,18 @@
     """Return the settings of one of so many gateways."""
     return api.Settings(
         classes=(api.RequestClass(aim=300 * MS, deadline=1200 * MS, worth=3.0, message_aim=50 * MS),),
-        siblings=siblings, max_attempts=6, may_probe=True, groups=True, probe_price=0.0029,
-        report_source=api.Source.PROBES, report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT),
-        cold_share=0.3, warm_after=9 * SECOND, overload_factor=3.0, overload_window=SECOND)
+        siblings=siblings,
+        max_attempts=6,
+        may_probe=True,
+        groups=True,
+        probe_price=0.0029,
+        report_source=api.Source.PROBES,
+        report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT),
+        cold_share=0.3,
+        warm_after=9 * SECOND,
+        overload_factor=3.0,
+        overload_window=SECOND,
+    )
 
 
 def gateway(servers: int, siblings: int) -> tuple[Balancer, int]:
@@ -66,11 +75,14 @@
     for _ in range(ROUNDS):
         for size in SIZES:
             seen[size].append(measure(*size))
-    middle = {size: tuple(statistics.median(column) for column in zip(*rows, strict=True))
-              for size, rows in seen.items()}
+    middle = {
+        size: tuple(statistics.median(column) for column in zip(*rows, strict=True)) for size, rows in seen.items()
+    }
     base = middle[SIZES[0]]
-    told = {f"{servers} servers, {siblings} relays": {"request": request / base[0], "tick": tick / base[1]}
-            for (servers, siblings), (request, tick) in middle.items()}
+    told = {
+        f"{servers} servers, {siblings} relays": {"request": request / base[0], "tick": tick / base[1]}
+        for (servers, siblings), (request, tick) in middle.items()
+    }
     for name, ratios in told.items():
         print(f"{name:24} request {ratios['request']:5.2f}  tick {ratios['tick']:5.2f}  of the smallest")
     if "--json" in sys.argv[1:]:
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -43,11 +43,20 @@
     took = time.process_time() - began
     counts = outcome.figures["counts"]
     decisions = counts["clients"] + counts["again"] + counts["standing"]
-    return {"cpu_s": round(took, 2), "events": outcome.events, "events_a_s": round(outcome.events / took),
-            "memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024), "G": outcome.figures["G"],
-            "whole": outcome.figures["whole"], "clients": decisions, "cpu_us_a_client": round(took / decisions * 1e6),
-            "lines": counts["lines"], "calls": counts["calls"], "broken": len(outcome.violations),
-            "error": outcome.error}
+    return {
+        "cpu_s": round(took, 2),
+        "events": outcome.events,
+        "events_a_s": round(outcome.events / took),
+        "memory_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
+        "G": outcome.figures["G"],
+        "whole": outcome.figures["whole"],
+        "clients": decisions,
+        "cpu_us_a_client": round(took / decisions * 1e6),
+        "lines": counts["lines"],
+        "calls": counts["calls"],
+        "broken": len(outcome.violations),
+        "error": outcome.error,
+    }
 
 
 def sizes(pairs: tuple[tuple[int, int], ...], seconds: str) -> dict[str, Any]:
@@ -69,9 +78,11 @@
     if told.one:
         print(msgspec.json.encode(one(*told.one)).decode())
         return
-    rows = {"deployment, a minute, module": measured("padova", "module", 'seconds = "60s"\n'),
-            "deployment, a minute, relay": measured("padova", "relay", 'seconds = "60s"\n'),
-            **sizes(SIZES, "20s")}
+    rows = {
+        "deployment, a minute, module": measured("padova", "module", 'seconds = "60s"\n'),
+        "deployment, a minute, relay": measured("padova", "relay", 'seconds = "60s"\n'),
+        **sizes(SIZES, "20s"),
+    }
     if told.large:
         rows |= {"full fleet, relay": measured("calm-mass", "relay"), **sizes(LARGE, "10s")}
     base = rows["14 servers, 3 relays"]["cpu_us_a_client"]
--- a/benchmarks/quic_path.py
+++ b/benchmarks/quic_path.py
@@ -35,7 +35,7 @@
 from scaledeal.quic.wire.packet import V1
 from scaledeal.quic.wire.protection import InitialKeys, initial
 
-FORWARDER = '''
+FORWARDER = """
 import sys
 from twisted.internet import reactor
 from twisted.internet.protocol import DatagramProtocol
@@ -61,7 +61,7 @@
 port.socket.setsockopt(1, 8, 4 << 20)
 print(port.getHost().port, flush=True)
 reactor.run()
-'''
+"""
 SIZE = 1200  # bytes of a datagram
 WINDOW = 64  # datagrams under way
 ROUND = 0.5  # seconds of a round
@@ -126,8 +126,9 @@
         datagram, source = self.server.recvfrom(65_536)
         cid = self.codec.new(self.sid)
         at = packet.long_packet(datagram)
-        self.server.sendto(initial(InitialKeys(V1, at.dcid).server, V1, at.scid, cid, 0, frames.crypto(0, b"\2")),
-                           source)
+        self.server.sendto(
+            initial(InitialKeys(V1, at.dcid).server, V1, at.scid, cid, 0, frames.crypto(0, b"\2")), source
+        )
         sock.recv(65_536)
         if prove:
             # A word with the server's id: from here on the path is proven.
@@ -184,8 +185,9 @@
     from aioquic.quic.configuration import QuicConfiguration
     from aioquic.quic.connection import QuicConnection
 
-    peer = QuicConnection(configuration=QuicConfiguration(is_client=True, alpn_protocols=["tiles"],
-                                                          server_name="maps.example"))
+    peer = QuicConnection(
+        configuration=QuicConfiguration(is_client=True, alpn_protocols=["tiles"], server_name="maps.example")
+    )
     peer.connect(("127.0.0.1", 1), now=0.0)
     datagram = peer.datagrams_to_send(now=0.0)[0][0]
     at = packet.long_packet(datagram)
@@ -201,12 +203,12 @@
         key_file.write(folder / "keys", ring)
         (folder / "file.hcl").write_text(
             f'quic {{\n  listen = "127.0.0.1:0"\n  keys = "{folder / "keys"}"\n  idle = "10m"\n'
-            f"  retry_above = 1000000\n  max_flows = {most + 100}\n  max_paths = {most + 200}\n{RULES}}}\n")
+            f"  retry_above = 1000000\n  max_flows = {most + 100}\n  max_paths = {most + 200}\n{RULES}}}\n"
+        )
         self.peers = Peers(ring, "s-0")
         discovery = Discovery(self.loop)
         discovery.put("s-0", self.peers.address)
-        self.process = RelayProcess(self.loop, folder, discovery.address, folder / "file.hcl",
-                                    descriptors=most + 3000)
+        self.process = RelayProcess(self.loop, folder, discovery.address, folder / "file.hcl", descriptors=most + 3000)
         self.relay = Target("relay", self.process.process, self.process.quic_port)
         self.loop.until(lambda: self.process.figure("relay_registry_entries") == 1)
         port = self.peers.address.rpartition(":")[2]
@@ -244,8 +246,12 @@
             keys.client.open(sample, packet.long_packet(sample))
             keys.server.seal(b"\xc3" + bytes(30), 0, bytes(100))
         crypto = (time.process_time() - began) / 200 * 1e6
-        return {"cpu_us_a_line_set_up": line, "cpu_us_a_flow_set_up": flow, "of_it_crypto_us": crypto,
-                "ratio_to_lines_crypto_aside": line / (flow - crypto)}
+        return {
+            "cpu_us_a_line_set_up": line,
+            "cpu_us_a_flow_set_up": flow,
+            "of_it_crypto_us": crypto,
+            "ratio_to_lines_crypto_aside": line / (flow - crypto),
+        }
 
     def _flow_set_ups(self, count: int) -> float:
         before = self.relay.cpu()
@@ -304,17 +310,22 @@
     def growth(self, sizes: list[int], seconds: float) -> list[dict[str, float]]:
         """Return cost and memory beside the number of flows, through both."""
         mine, other = ([self.grown(target, size, seconds) for size in sizes] for target in (self.relay, self.bare))
-        return [{"flows": size, **one, "forwarder_cpu_us_a_datagram": two["cpu_us_a_datagram"]}
-                for size, one, two in zip(sizes, mine, other, strict=True)]
+        return [
+            {"flows": size, **one, "forwarder_cpu_us_a_datagram": two["cpu_us_a_datagram"]}
+            for size, one, two in zip(sizes, mine, other, strict=True)
+        ]
 
     def grown(self, target: Target, size: int, seconds: float) -> dict[str, float]:
         """Return the cost with so many flows."""
         made, before = self.flows(target, size), target.memory()
-        count, cpu = self.peers.pump(target, made[::max(1, size // 512)], seconds)
+        count, cpu = self.peers.pump(target, made[:: max(1, size // 512)], seconds)
         for sock, _ in made:
             sock.close()
-        return {"datagrams_a_second": count / seconds, "cpu_us_a_datagram": cpu / count * 1e6,
-                "bytes_a_flow": (before - self.empty) / self.made}
+        return {
+            "datagrams_a_second": count / seconds,
+            "cpu_us_a_datagram": cpu / count * 1e6,
+            "bytes_a_flow": (before - self.empty) / self.made,
+        }
 
     def unknown(self, seconds: float) -> dict[str, float]:
         """Return how many datagrams with unknown ids are dropped a second, and that they leave nothing."""
@@ -371,9 +382,11 @@
         try:
             figures: dict[str, Any] = {
                 "growth": bench.growth([size for size in (100, 1000, 10_000) if size <= told.flows], 1.0),
-                "placing": bench.placing(500), "throughput": bench.throughput(told.seconds, 32),
+                "placing": bench.placing(500),
+                "throughput": bench.throughput(told.seconds, 32),
                 "latency": bench.added_latency(3000),
-                "unknown_ids": bench.unknown(1.0), "ending_quic_instead": stack(1.0),
+                "unknown_ids": bench.unknown(1.0),
+                "ending_quic_instead": stack(1.0),
             }
         finally:
             bench.close()
--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -90,8 +90,13 @@
             cpus[name].append(self.cpu() - before)
         for name, each in times.items():
             cpu = statistics.median(cpus[name])
-            out[name] = {"cpu_us": cpu, "a_second_on_one_core": 1e6 / cpu, "p50_us": each.get_value_at_percentile(50),
-                         "p99_us": each.get_value_at_percentile(99), "count": len(cpus[name])}
+            out[name] = {
+                "cpu_us": cpu,
+                "a_second_on_one_core": 1e6 / cpu,
+                "p50_us": each.get_value_at_percentile(50),
+                "p99_us": each.get_value_at_percentile(99),
+                "count": len(cpus[name]),
+            }
         return out
 
     def lines(self, count: int) -> dict[str, float]:
@@ -134,9 +139,16 @@
     began = time.perf_counter()
     progress = Progress(5, 5, b"x" * 200)
     for start in range(0, sessions, 1000):
-        made.batch([step for number in range(start, min(sessions, start + 1000)) for step in (
-            (f"s{number:07}", lambda old, name=f"s{number:07}": reg.begin(old, name, "h", LATER), True),
-            (f"s{number:07}", lambda old: reg.record(old, 1, progress, LATER), False))])
+        made.batch(
+            [
+                step
+                for number in range(start, min(sessions, start + 1000))
+                for step in (
+                    (f"s{number:07}", lambda old, name=f"s{number:07}": reg.begin(old, name, "h", LATER), True),
+                    (f"s{number:07}", lambda old: reg.record(old, 1, progress, LATER), False),
+                )
+            ]
+        )
     filled = time.perf_counter() - began
     began = time.perf_counter()
     for _ in range(300):
@@ -149,9 +161,14 @@
     made.close()
     began = time.perf_counter()
     Ledger(path, "b", sessions + 10).close()
-    return {"sessions": sessions, "recovery_s": time.perf_counter() - began, "bytes_a_session":
-            path.stat().st_size / sessions, "records_a_second_alone": alone, "records_a_second_batched": batched,
-            "filling_s": filled}
+    return {
+        "sessions": sessions,
+        "recovery_s": time.perf_counter() - began,
+        "bytes_a_session": path.stat().st_size / sessions,
+        "records_a_second_alone": alone,
+        "records_a_second_batched": batched,
+        "filling_s": filled,
+    }
 
 
 def tokens() -> dict[str, float]:
@@ -180,8 +197,11 @@
         with tempfile.TemporaryDirectory() as folder:
             bench = Bench(Path(folder), on_disk)
             try:
-                figures[name] = {"lines": bench.lines(2000), "memory": bench.held(100),
-                                 "coming_again": bench.coming_again(told.count)}
+                figures[name] = {
+                    "lines": bench.lines(2000),
+                    "memory": bench.held(100),
+                    "coming_again": bench.coming_again(told.count),
+                }
             finally:
                 bench.close()
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -49,13 +49,20 @@
     return None if core is None else lambda: os.sched_setaffinity(0, {core})
 
 
-def start(folder: str, where: str, core: int | None = None, listen: str = "127.0.0.1:0"
-          ) -> tuple[subprocess.Popen[str], int]:
+def start(
+    folder: str, where: str, core: int | None = None, listen: str = "127.0.0.1:0"
+) -> tuple[subprocess.Popen[str], int]:
     """Start a relay; return it once it listens, and its port."""
-    env = {**os.environ, "PROXY_CONFIG": f"{folder}/config.json", "PROXY_LISTEN": listen, "PROXY_DISCOVERY": where,
-           "TMPDIR": folder}
-    process = subprocess.Popen([sys.executable, "-m", "scaledeal"], env=env, stderr=subprocess.PIPE, text=True,
-                               preexec_fn=on_core(core))
+    env = {
+        **os.environ,
+        "PROXY_CONFIG": f"{folder}/config.json",
+        "PROXY_LISTEN": listen,
+        "PROXY_DISCOVERY": where,
+        "TMPDIR": folder,
+    }
+    process = subprocess.Popen(
+        [sys.executable, "-m", "scaledeal"], env=env, stderr=subprocess.PIPE, text=True, preexec_fn=on_core(core)
+    )
     assert process.stderr is not None
     line = next(each for each in process.stderr if "listens on" in each)
     return process, int(line.partition("127.0.0.1:")[2].partition(",")[0])
@@ -107,8 +114,13 @@
 def alone(core: int | None = None) -> float:
     """Start the interpreter with Twisted alone; return the seconds until it is up."""
     began = time.perf_counter()
-    process = subprocess.Popen([sys.executable, "-c", ALONE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
-                               preexec_fn=on_core(core))
+    process = subprocess.Popen(
+        [sys.executable, "-c", ALONE],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+        preexec_fn=on_core(core),
+    )
     assert process.stdout is not None
     process.stdout.readline()
     took = time.perf_counter() - began
@@ -133,17 +145,21 @@
     relay(where), alone()  # compiled, and in the system's memory
     ways: dict[str, tuple[Callable[[], float], Callable[[], float]]] = {
         "alone": (lambda: relay(where), alone),
-        f"{TOGETHER} on one core": (lambda: together(lambda: relay(where, core)),
-                                    lambda: together(lambda: alone(core))),
-        "successor": (lambda: successor(where), alone)}
+        f"{TOGETHER} on one core": (
+            lambda: together(lambda: relay(where, core)),
+            lambda: together(lambda: alone(core)),
+        ),
+        "successor": (lambda: successor(where), alone),
+    }
     told: dict[str, dict[str, float]] = {}
     for way, (mine, base) in ways.items():
         pairs = [(mine(), base()) for _ in range(ROUNDS)]
         a, b = (statistics.median(each) for each in zip(*pairs, strict=True))
         ratio, worst = statistics.median(x / y for x, y in pairs), max(x for x, _ in pairs)
         told[way] = {"relay_s": a, "worst_s": worst, "alone_s": b, "ratio": ratio}
-        print(f"{way}: relay {a:.3f} s (worst {worst:.3f}), "
-              f"interpreter with Twisted alone {b:.3f} s, ratio {ratio:.2f}")
+        print(
+            f"{way}: relay {a:.3f} s (worst {worst:.3f}), interpreter with Twisted alone {b:.3f} s, ratio {ratio:.2f}"
+        )
     if "--json" in sys.argv:
         print(json.dumps(told))
 
--- a/scaledeal/cli/checking.py
+++ b/scaledeal/cli/checking.py
@@ -38,6 +38,7 @@
 def _key_faults(place: str, path: str) -> list[Fault]:
     from scaledeal.quic.ids import key_file
     from scaledeal.quic.ids.keys import KeyRingError
+
     try:
         key_file.read(Path(path))
     except KeyRingError as error:
--- a/scaledeal/cli/keys.py
+++ b/scaledeal/cli/keys.py
@@ -18,6 +18,7 @@
 def _taken(call: Callable[[], T]) -> T:
     """Return what a call returns; end with code 2 and one plain line where it can't be done."""
     from scaledeal.quic.ids.keys import KeyRingError
+
     try:
         return call()
     except KeyRingError as error:
@@ -38,6 +39,7 @@
     """
     from scaledeal.quic.ids import key_file
     from scaledeal.quic.ids.keys import new_ring
+
     if keys.exists():
         before = _taken(lambda: key_file.read(keys))
         ring = _taken(lambda: before.rotated(server_id_length, nonce_length, plaintext))
@@ -51,11 +53,14 @@
 def list_configs(keys: KeyFile = DEFAULT_KEYS) -> None:
     """List the configs in force; no key is printed."""
     from scaledeal.quic.ids import key_file
+
     ring = _taken(lambda: key_file.read(keys))
     for each in ring.configs:
         config = each.config()
-        typer.echo(f"config {config.number}  {each.standing.value:6}  {config.form:11}  server id "
-                   f"{config.server_id_length} B  nonce {config.nonce_length} B  id {config.length} B")
+        typer.echo(
+            f"config {config.number}  {each.standing.value:6}  {config.form:11}  server id "
+            f"{config.server_id_length} B  nonce {config.nonce_length} B  id {config.length} B"
+        )
 
 
 @app.command()
@@ -65,6 +70,7 @@
 ) -> None:
     """Take an old config out of force: its ids no longer route, and flows that still use them end."""
     from scaledeal.quic.ids import key_file
+
     before = _taken(lambda: key_file.read(keys))
     ring = _taken(lambda: before.retired(number))
     _taken(lambda: key_file.write(keys, ring))
@@ -79,25 +85,30 @@
     """Tell what a session's token says, but for what binds it to its holder."""
     from scaledeal.quic.ids import key_file
     from scaledeal.resume.core.token import Refused, Sealer
+
     ring = _taken(lambda: key_file.read(keys))
     found = Sealer(_taken(ring.token_keys), ring.active.number).open(token)
     if isinstance(found, Refused):
         typer.echo(f"scaledeal keys: this token is refused: {found.value}", err=True)
         raise typer.Exit(2)
-    typer.echo(f"session {found.session}  epoch {found.epoch}  class {found.request_class}  tenant {found.tenant}  "
-               f"server {found.server}  owner {found.owner}  applied {found.applied}  sent {found.sent}")
+    typer.echo(
+        f"session {found.session}  epoch {found.epoch}  class {found.request_class}  tenant {found.tenant}  "
+        f"server {found.server}  owner {found.owner}  applied {found.applied}  sent {found.sent}"
+    )
 
 
 @app.command("show-id")
 def show_id(
     cid: Annotated[str, typer.Argument(metavar="CID", help="A connection id in hexadecimal.")],
     keys: KeyFile = DEFAULT_KEYS,
-    server: Annotated[list[str] | None, typer.Option(help="A server's name as discovery lists it; may be repeated."
-                                                     )] = None,
+    server: Annotated[
+        list[str] | None, typer.Option(help="A server's name as discovery lists it; may be repeated.")
+    ] = None,
 ) -> None:
     """Tell what a connection id says: its config, server id and nonce, and whose of the named servers it is."""
     from scaledeal.quic.ids import key_file
     from scaledeal.quic.ids.servers import server_id
+
     ring = _taken(lambda: key_file.read(keys))
     try:
         raw = bytes.fromhex(cid)
--- a/scaledeal/cli/lab.py
+++ b/scaledeal/cli/lab.py
@@ -18,11 +18,15 @@
     from scaledeal.lab.runs import Job, Outcome, Variant
     from scaledeal.lab.runs.store import Store
 
-app = typer.Typer(no_args_is_help=True,
-                  help="Play simulated fleets, compare variants, hunt for failures, soak real processes, account.")
+app = typer.Typer(
+    no_args_is_help=True,
+    help="Play simulated fleets, compare variants, hunt for failures, soak real processes, account.",
+)
 app.command()(soak)
-Host = Annotated[Literal["module", "relay"], typer.Option(
-    help="module: the decision module alone; relay: the real network code on simulated sockets.")]
+Host = Annotated[
+    Literal["module", "relay"],
+    typer.Option(help="module: the decision module alone; relay: the real network code on simulated sockets."),
+]
 Results = Annotated[Path, typer.Option("--store", metavar="FILE", help="The results, an SQLite file.")]
 Workers = Annotated[int, typer.Option(min=1, max=256, help="Runs at once; each takes one core.")]
 STORE = Path("lab.sqlite")
@@ -36,8 +40,9 @@
 
 @app.command()
 def account(
-    folder: Annotated[Path, typer.Argument(
-        metavar="FOLDER", help="Logs of relays started with PROXY_TRACE, or one file.")],
+    folder: Annotated[
+        Path, typer.Argument(metavar="FOLDER", help="Logs of relays started with PROXY_TRACE, or one file.")
+    ],
     follow: Annotated[str, typer.Option(metavar="ID", help="Tell what one client met: an id, or a flow's key.")] = "",
     as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object.")] = False,
     plot: Annotated[Path | None, typer.Option(metavar="FILE", help="Draw it by second: a PNG or SVG file.")] = None,
@@ -45,6 +50,7 @@
     """Account for what a whole fleet lost, by class and cause, from every relay's trace."""
     from scaledeal.lab.account import reading, tables
     from scaledeal.lab.account.ledger import Ledger
+
     try:
         trace = reading.read(folder)
     except (reading.UnreadableError, OSError) as error:
@@ -64,10 +70,14 @@
 def _follow(ledger: object, wanted: str) -> None:
     from scaledeal.lab.account.ledger import Ledger
     from scaledeal.lab.account.tables import story
+
     assert isinstance(ledger, Ledger)
     by_key = ledger.journeys.by_key
-    key = wanted if wanted in by_key else next(
-        (visit.key for visits in by_key.values() for visit in visits if visit.id == wanted), "")
+    key = (
+        wanted
+        if wanted in by_key
+        else next((visit.key for visits in by_key.values() for visit in visits if visit.id == wanted), "")
+    )
     if not key:
         raise _refuse(f"{wanted}: no relay names this id or key")
     typer.echo(f"key {key}\n{story(by_key[key], ledger.start)}")
@@ -75,6 +85,7 @@
 
 def _draw(ledger: object, path: Path) -> None:
     from scaledeal.lab.account.ledger import Ledger
+
     assert isinstance(ledger, Ledger)
     try:
         from scaledeal.lab.account.plot import draw
@@ -90,6 +101,7 @@
 def scenarios() -> None:
     """List the scenarios that come with the program."""
     from scaledeal.lab.scenario import ready
+
     for name, path in ready().items():
         typer.echo(f"{name:16} {path.read_text().splitlines()[0].lstrip('# ')}")
 
@@ -98,6 +110,7 @@
 def check(file: Annotated[Path, typer.Argument(metavar="FILE")]) -> None:
     """Tell everything that is wrong with a scenario, with place and reason."""
     from scaledeal.lab.scenario import check as faults
+
     found = faults(file)
     for each in found:
         typer.echo(f"{file}: {each}", err=True)
@@ -118,13 +131,18 @@
 ) -> None:
     """Play one simulated day. Exit code 1 where a rule was broken or the run did not end."""
     from scaledeal.lab.runs import Job, play
+
     job = Job(_text(scenario), seed, host, _variant(variant), shuffle, not go_on)
     outcome = _tried(lambda: play(job))
     if as_json:
         typer.echo(msgspec.json.encode(outcome).decode())
     else:
-        _show(outcome, f"scaledeal lab run {scenario} --seed {seed} --host {host}"
-              + (f" --variant {variant}" if variant != "now" else "") + (" --shuffle" if shuffle else ""))
+        _show(
+            outcome,
+            f"scaledeal lab run {scenario} --seed {seed} --host {host}"
+            + (f" --variant {variant}" if variant != "now" else "")
+            + (" --shuffle" if shuffle else ""),
+        )
     if outcome.violations or outcome.error:
         raise typer.Exit(1)
 
@@ -144,6 +162,7 @@
     What the store has already is not played again: a comparison that was stopped goes on from where it was.
     """
     from scaledeal.lab.experiments import sweep as sweeps
+
     variants = [_variant(each) for each in variant]
     if len({each.name for each in variants}) < len(variants):
         raise _refuse("--variant: two of one name; write NAME=... before them")
@@ -179,8 +198,10 @@
     else:
         for row in kept.listed(experiment):
             state = row["error"] or (f"{row['violations']} broken rules" if row["violations"] else "")
-            typer.echo(f"{row['key']}  {row['experiment']:10} {row['title']:14} seed {row['seed']:<6} {row['host']:6} "
-                       f"{row['variant']:10} {row['score']:.4f}  {state}")
+            typer.echo(
+                f"{row['key']}  {row['experiment']:10} {row['title']:14} seed {row['seed']:<6} {row['host']:6} "
+                f"{row['variant']:10} {row['score']:.4f}  {state}"
+            )
 
 
 @app.command()
@@ -197,11 +218,13 @@
     """Draw days until a rule breaks, shrink what was found and keep it. Exit code 1 where something was found."""
     from scaledeal.lab.hunt.party import hunted
     from scaledeal.lab.scenario.reading import load_text
+
     found = 0
     near = load_text(_text(scenario)) if scenario else None
     other = _variant(against).source if against else None
-    for case in hunted(tries, seed, host, _variant(variant).source, workers, lambda text: typer.echo(text, err=True),
-                       other, near):
+    for case in hunted(
+        tries, seed, host, _variant(variant).source, workers, lambda text: typer.echo(text, err=True), other, near
+    ):
         found += 1
         keep.mkdir(parents=True, exist_ok=True)
         path = keep / f"{case.rule.replace(' ', '-')}-{case.seed}.json"
@@ -220,6 +243,7 @@
     """Play a kept case again and tell the trace of the id. Exit code 1 where its rule still breaks."""
     from scaledeal.lab.hunt import Case
     from scaledeal.lab.hunt import replay as again
+
     try:
         case = Case.read(file)
     except (OSError, ValueError) as error:
@@ -235,6 +259,7 @@
 def _text(scenario: str) -> str:
     from scaledeal.hcl import FileError, read_file
     from scaledeal.lab.scenario import load, ready
+
     path = Path(scenario)
     if not path.is_file() and scenario in ready():
         path = ready()[scenario]
@@ -247,6 +272,7 @@
 
 def _variant(told: str) -> Variant:
     from scaledeal.lab.experiments.sweep import VariantError, variant_of
+
     try:
         return variant_of(told)
     except VariantError as error:
@@ -266,6 +292,7 @@
 
 def _tried(call: Callable[[], Outcome]) -> Outcome:
     from scaledeal.hcl import FileError
+
     try:
         return call()
     except FileError as error:
@@ -276,6 +303,7 @@
 
 def _store(path: Path, must_exist: bool = False) -> Store:
     from scaledeal.lab.runs.store import Store, StoreError
+
     if must_exist and not path.exists():
         raise _refuse(f"{path}: there is no such file")
     try:
@@ -287,6 +315,7 @@
 def _played(jobs: list[Job], path: Path, experiment: str, workers: int) -> list[Outcome]:
     """Play what is missing, with progress on standard error; SIGINT ends it after what runs."""
     from scaledeal.lab.experiments.sweep import sweep
+
     kept, stop = _store(path), list[bool]()
     before = signal.signal(signal.SIGINT, lambda *_: stop.append(True))
     outcomes = []
@@ -294,8 +323,11 @@
         for outcome, old in sweep(jobs, kept, experiment, workers, lambda: bool(stop)):
             outcomes.append(outcome)
             told = "kept" if old else f"{outcome.seconds:.1f} s"
-            print(f"{len(outcomes)}/{len(jobs)} {outcome.title} seed {outcome.seed} {outcome.variant}: "
-                  f"{outcome.error or format(outcome.score, '.4f')} ({told})", file=sys.stderr)
+            print(
+                f"{len(outcomes)}/{len(jobs)} {outcome.title} seed {outcome.seed} {outcome.variant}: "
+                f"{outcome.error or format(outcome.score, '.4f')} ({told})",
+                file=sys.stderr,
+            )
     finally:
         signal.signal(signal.SIGINT, before)
         kept.close()
@@ -304,8 +336,10 @@
 
 def _show(outcome: Outcome, again: str) -> None:
     figures = outcome.figures
-    typer.echo(f"{outcome.title}, seed {outcome.seed}, host {outcome.host}, variant {outcome.variant}: "
-               f"{outcome.events} events in {outcome.seconds:.1f} s")
+    typer.echo(
+        f"{outcome.title}, seed {outcome.seed}, host {outcome.host}, variant {outcome.variant}: "
+        f"{outcome.events} events in {outcome.seconds:.1f} s"
+    )
     for name in ("G", "whole", "worst_10s", "worst_class"):
         if name in figures:
             typer.echo(f"  {name:12} {figures[name]:.4f}")
--- a/scaledeal/cli/main.py
+++ b/scaledeal/cli/main.py
@@ -13,8 +13,13 @@
 EXIT_CODES = """Exit codes: 0 all went well; 2 something that was given can't be used, and the text says what and
 where; 1 the program failed."""
 
-app = typer.Typer(no_args_is_help=True, add_completion=False, rich_markup_mode=None, pretty_exceptions_enable=False,
-                  help=f"A relay for long-lived connections.\n\n{EXIT_CODES}")
+app = typer.Typer(
+    no_args_is_help=True,
+    add_completion=False,
+    rich_markup_mode=None,
+    pretty_exceptions_enable=False,
+    help=f"A relay for long-lived connections.\n\n{EXIT_CODES}",
+)
 app.add_typer(keys.app, name="keys")
 app.add_typer(sessions.app, name="sessions")
 app.add_typer(lab.app, name="lab")
@@ -46,17 +51,23 @@
     again, SIGTERM moves the clients and ends it.
     """
     from scaledeal.cli.running import run_relay
+
     raise typer.Exit(run_relay(file))
 
 
 @app.command()
 def check(
     file: OperatorFile = DEFAULT_FILE,
-    config: Annotated[Path | None, typer.Option(
-        metavar="FILE", help="The relay's PROXY_CONFIG: checks classes and deadlines against its settings.")] = None,
+    config: Annotated[
+        Path | None,
+        typer.Option(
+            metavar="FILE", help="The relay's PROXY_CONFIG: checks classes and deadlines against its settings."
+        ),
+    ] = None,
 ) -> None:
     """Tell everything that is wrong with an operators' file, with place and reason."""
     from scaledeal.cli.checking import faults
+
     found = faults(file, config)
     for each in found:
         typer.echo(f"{file}: {each}", err=True)
--- a/scaledeal/cli/running.py
+++ b/scaledeal/cli/running.py
@@ -16,6 +16,7 @@
 def run_relay(file: Path) -> int:
     """Run until told to stop; return the exit code."""
     from scaledeal.__main__ import main
+
     try:
         installation = read(file)
     except FileError as error:
@@ -42,16 +43,22 @@
         relay.sides.append(QuicSide(relay, installation.quic, again))
     if installation.resume is not None:
         from scaledeal.resume.wire.side import ResumeSide
+
         relay.sides.append(ResumeSide(relay, installation.resume, lambda: read(file, document).resume))
 
 
 def log_as(told: Log) -> None:
     """Write the new parts' log: one event a line on standard error, JSON or for people."""
-    last: structlog.types.Processor = (structlog.processors.JSONRenderer() if told.format == "json"
-                                       else structlog.dev.ConsoleRenderer(colors=False))
+    last: structlog.types.Processor = (
+        structlog.processors.JSONRenderer() if told.format == "json" else structlog.dev.ConsoleRenderer(colors=False)
+    )
     structlog.configure(
-        processors=[structlog.processors.add_log_level, structlog.processors.TimeStamper("iso"),
-                    structlog.processors.format_exc_info, last],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper("iso"),
+            structlog.processors.format_exc_info,
+            last,
+        ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, told.level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
--- a/scaledeal/cli/sessions.py
+++ b/scaledeal/cli/sessions.py
@@ -22,6 +22,7 @@
 def _ledger(path: Path) -> Iterator[Ledger]:
     """Open a ledger that is there; end with code 2 and one plain line where it can't be believed."""
     from scaledeal.resume.stores.ledger import Ledger, LedgerError
+
     try:
         if not path.is_file():
             raise LedgerError(f"{path}: there is no ledger")
@@ -41,8 +42,10 @@
 def _line(each: Register) -> str:
     left = (each.expires - time.time_ns()) / 1e9  # noqa: TID251 - a command reads the wall clock once
     state = "answered" if each.answered else f"{left:.0f} s left" if left > 0 else "expired"
-    return (f"{each.session}  epoch {each.epoch}  at {each.holder}  applied {each.applied}  sent {each.sent}  "
-            f"unheard {len(each.outbox)}  {state}")
+    return (
+        f"{each.session}  epoch {each.epoch}  at {each.holder}  applied {each.applied}  sent {each.sent}  "
+        f"unheard {len(each.outbox)}  {state}"
+    )
 
 
 @app.command("list")
@@ -68,8 +71,9 @@
 @app.command()
 def expire(
     ledger: LedgerPath,
-    compact: Annotated[bool, typer.Option("--compact", help="Give their room back; only while no relay uses it."
-                                          )] = False,
+    compact: Annotated[
+        bool, typer.Option("--compact", help="Give their room back; only while no relay uses it.")
+    ] = False,
 ) -> None:
     """Forget the sessions whose time is up. A relay does so by itself."""
     with _ledger(ledger) as opened:
--- a/scaledeal/fleet/core/members.py
+++ b/scaledeal/fleet/core/members.py
@@ -126,8 +126,9 @@
 class Members:
     """One relay's view of the fleet. Moments are ns on its own clock."""
 
-    def __init__(self, name: str, address: str, seeds: dict[str, str], pace: Pace, seed: int,
-                 incarnation: int = 0) -> None:
+    def __init__(
+        self, name: str, address: str, seeds: dict[str, str], pace: Pace, seed: int, incarnation: int = 0
+    ) -> None:
         """``seeds``: addresses of relays by name, from the settings; ``seed``: of this relay's draws."""
         self.name, self.pace, self.random = name, pace, random.Random(seed)
         self.known = {each: Member(each, where) for each, where in sorted(seeds.items()) if each != name}
@@ -227,8 +228,12 @@
 
     def _over(self, now: int) -> None:
         probe, self.probe = self.probe, None
-        if probe is not None and not probe.answered and (member := self.known.get(probe.target)) is not None \
-                and member.state is State.ALIVE:
+        if (
+            probe is not None
+            and not probe.answered
+            and (member := self.known.get(probe.target)) is not None
+            and member.state is State.ALIVE
+        ):
             self._holds(member, State.SUSPECT, member.incarnation, now)
 
     def _acknowledged(self, message: Ack) -> list[Out]:
@@ -274,8 +279,10 @@
             if times + 1 >= most:
                 del self._news[name]
         names = [name for _, name in chosen]
-        return tuple(News(each.name, each.address, each.state, each.incarnation)
-                     for each in (self.me, *(self.known[name] for name in (*names, *self._others(names)))))
+        return tuple(
+            News(each.name, each.address, each.state, each.incarnation)
+            for each in (self.me, *(self.known[name] for name in (*names, *self._others(names))))
+        )
 
     def _others(self, told: list[str]) -> list[str]:
         """Return whom a message has room for beside its news, in turn."""
@@ -284,7 +291,7 @@
         room = self.pace.news - 1 - len(told)
         if len(rest) > room:
             self._turn = (self._turn + room) % len(rest)
-            rest = (rest[self._turn:] + rest[:self._turn])[:room]
+            rest = (rest[self._turn :] + rest[: self._turn])[:room]
         return rest
 
     def _some(self, names: list[str], count: int) -> list[str]:
--- a/scaledeal/hcl/__init__.py
+++ b/scaledeal/hcl/__init__.py
@@ -7,5 +7,16 @@
 from scaledeal.hcl.reading import Breach, Fault, FileError, Rule, UnreadError, read_as, read_file, told
 from scaledeal.hcl.values import Duration, Span, Times
 
-__all__ = ["Breach", "Duration", "Fault", "FileError", "Rule", "Span", "Times", "UnreadError", "read_as", "read_file",
-           "told"]
+__all__ = [
+    "Breach",
+    "Duration",
+    "Fault",
+    "FileError",
+    "Rule",
+    "Span",
+    "Times",
+    "UnreadError",
+    "read_as",
+    "read_file",
+    "told",
+]
--- a/scaledeal/hcl/reading.py
+++ b/scaledeal/hcl/reading.py
@@ -91,8 +91,9 @@
     taken = reader.struct(root, kind, "") if root is not None else None
     if taken is not None:
         spoken = {fault.place for fault in reader.faults}
-        reader.faults += [Fault(reader.line_of(place), place, reason) for place, reason in told(rules, taken)
-                          if place not in spoken]
+        reader.faults += [
+            Fault(reader.line_of(place), place, reason) for place, reason in told(rules, taken) if place not in spoken
+        ]
     if reader.faults or not isinstance(taken, kind):
         raise FileError(reader.faults)
     return taken
@@ -110,8 +111,9 @@
 def _laid_over(over: Block, under: Block) -> Block:
     """Return one block with another's values where it has none; lines are told of the upper one alone."""
     values = {name: (0, value) for name, (_, value) in under.values.items()} | over.values
-    blocks = {name: [_laid_over(Block(0, each.label, {}, {}), each) for each in many]
-              for name, many in under.blocks.items()}
+    blocks = {
+        name: [_laid_over(Block(0, each.label, {}, {}), each) for each in many] for name, many in under.blocks.items()
+    }
     for name, many in over.blocks.items():
         blocks[name] = _together(many, blocks.get(name, []))
     return Block(over.line, over.label, values, blocks)
@@ -212,8 +214,11 @@
         if len(self.faults) == before:
             return kind(**taken)
         spoilt = {name for name in known if name in block.values or name in block.blocks}
-        defaults = {field.name: field.default for name, field in fields.items()
-                    if name not in spoilt and field.default is not msgspec.NODEFAULT}
+        defaults = {
+            field.name: field.default
+            for name, field in fields.items()
+            if name not in spoilt and field.default is not msgspec.NODEFAULT
+        }
         return Partial(defaults | taken)
 
     def _field(self, block: Block, name: str, hint: Any, place: str) -> Any:
@@ -249,8 +254,9 @@
             return ...
 
     def _names(self, block: Block) -> list[tuple[str, int]]:
-        return ([(name, line) for name, (line, _) in block.values.items()]
-                + [(name, each.line) for name, many in block.blocks.items() for each in many])
+        return [(name, line) for name, (line, _) in block.values.items()] + [
+            (name, each.line) for name, many in block.blocks.items() for each in many
+        ]
 
     def _fault(self, line: int, place: str, name: str, reason: str) -> None:
         self.faults.append(Fault(line, f"{place}.{name}".lstrip("."), reason))
@@ -343,6 +349,11 @@
 
 
 _READERS: dict[str, Callable[[list[Any]], Any]] = {
-    "unary_op": _signed, "expr_term": _single, "tuple": _listed, "int_lit": _number, "float_lit": _number,
-    "identifier": lambda inner: _token(str(inner[0])), "literal_value": lambda inner: _token(str(inner[0])),
+    "unary_op": _signed,
+    "expr_term": _single,
+    "tuple": _listed,
+    "int_lit": _number,
+    "float_lit": _number,
+    "identifier": lambda inner: _token(str(inner[0])),
+    "literal_value": lambda inner: _token(str(inner[0])),
 }
--- a/scaledeal/interface.py
+++ b/scaledeal/interface.py
@@ -146,8 +146,16 @@
             raise ValueError("classes: at least one is needed")
         for name in ("siblings", "max_attempts", "overload_factor", "granularity"):
             _positive(name, getattr(self, name))
-        for name in ("zone", "retry_after_max", "over_share_worth", "move_price", "probe_price", "zone_price",
-                     "warm_after", "overload_window"):
+        for name in (
+            "zone",
+            "retry_after_max",
+            "over_share_worth",
+            "move_price",
+            "probe_price",
+            "zone_price",
+            "warm_after",
+            "overload_window",
+        ):
             _not_negative(name, getattr(self, name))
         if not 0 < self.cold_share <= 1:
             raise ValueError("cold_share: must lie above 0 and at most at 1")
@@ -284,9 +292,7 @@
     request: str
 
 
-Event = (Membership | Request | OpenConnection | Established | Outcome | Note | ProbeResult | Timer
-         | ClientGone)
-
+Event = Membership | Request | OpenConnection | Established | Outcome | Note | ProbeResult | Timer | ClientGone
 
 
 # Actions: what a balancer wants done.
--- a/scaledeal/lab/account/journeys.py
+++ b/scaledeal/lab/account/journeys.py
@@ -79,8 +79,16 @@
         self.open: dict[tuple[str, str], Visit] = {}
         self.heard: dict[str, float] = {}  # when each relay last wrote a line
         self.first = self.last = 0.0
-        self._read = {"send": self._send, "up": self._up, "out": self._out, "late": self._late,
-                      "refuse": self._refuse, "fail": self._fail, "move": self._move, "gone": self._gone}
+        self._read = {
+            "send": self._send,
+            "up": self._up,
+            "out": self._out,
+            "late": self._late,
+            "refuse": self._refuse,
+            "fail": self._fail,
+            "move": self._move,
+            "gone": self._gone,
+        }
 
     def take(self, line: Line) -> None:
         """Take the next line."""
--- a/scaledeal/lab/account/ledger.py
+++ b/scaledeal/lab/account/ledger.py
@@ -29,9 +29,15 @@
 HUNG = 2000.0  # ms of a message from which its server counts as hung
 UNKNOWN = "unattributed"
 STANDS = ("late messages", "standing")  # how the causes begin that befall connections that stand
-_GAPS = {End.REFUSED: "refused", End.FAILED: "failed", End.MOVED: "moved",
-         End.SENT_AWAY: "sent away by a draining server", End.BROKEN: "broken", End.RELAY_GONE: "relay gone",
-         End.LEFT: "client left unanswered"}
+_GAPS = {
+    End.REFUSED: "refused",
+    End.FAILED: "failed",
+    End.MOVED: "moved",
+    End.SENT_AWAY: "sent away by a draining server",
+    End.BROKEN: "broken",
+    End.RELAY_GONE: "relay gone",
+    End.LEFT: "client left unanswered",
+}
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -210,8 +216,13 @@
                 self._book("waiting at the relay", visit, attempt.server, at, attempt.began)
             at = attempt.ended or self.end
             if attempt.result != "up":
-                self._book(f"attempt: {attempt.result or 'still out'}, server {self._state(attempt)}", visit,
-                           attempt.server, attempt.began, at)
+                self._book(
+                    f"attempt: {attempt.result or 'still out'}, server {self._state(attempt)}",
+                    visit,
+                    attempt.server,
+                    attempt.began,
+                    at,
+                )
             elif at - attempt.began > SET_UP:
                 self._book("slow set-up", visit, attempt.server, attempt.began, at)
         ended = visit.ended or self.end
@@ -222,12 +233,19 @@
         return self.truth.word(attempt.server, attempt.began)
 
     def _late(self, visit: Visit, ended: float) -> None:
-        spoilt = [(late.sent, min(ended, max(late.until or ended, late.sent + MESSAGES)),
-                   f"late messages, server {'hung' if late.ms >= HUNG else self.truth.word(visit.server, late.sent)}")
-                  for late in visit.late]
+        spoilt = [
+            (
+                late.sent,
+                min(ended, max(late.until or ended, late.sent + MESSAGES)),
+                f"late messages, server {'hung' if late.ms >= HUNG else self.truth.word(visit.server, late.sent)}",
+            )
+            for late in visit.late
+        ]
         aim = self.aims[visit.cls] if 0 <= visit.cls < len(self.aims) else 0.0
-        spoilt += [(began, until, f"standing at a server {why}")
-                   for began, until, why in self.truth.troubles(visit.server, aim, visit.up, ended)]
+        spoilt += [
+            (began, until, f"standing at a server {why}")
+            for began, until, why in self.truth.troubles(visit.server, aim, visit.up, ended)
+        ]
         reached = visit.up
         for began, until, cause in sorted(spoilt):  # no moment counts twice
             if until > max(reached, began):
--- a/scaledeal/lab/account/reading.py
+++ b/scaledeal/lab/account/reading.py
@@ -30,7 +30,7 @@
         if line.startswith(b"{"):
             yield line
         elif (at := line.find(MARK)) >= 0:
-            yield line[at + len(MARK) - 1:]
+            yield line[at + len(MARK) - 1 :]
 
 
 def decode(files: Iterable[bytes]) -> Trace:
@@ -57,6 +57,8 @@
     paths = sorted(p for p in folder.rglob("*") if p.is_file()) if folder.is_dir() else [folder]
     trace = decode(path.read_bytes() for path in paths)
     if not trace.lines:
-        raise UnreadableError(f"{folder}: no line of a trace in {trace.files} files; relays write one where they are "
-                              "started with PROXY_TRACE=-")
+        raise UnreadableError(
+            f"{folder}: no line of a trace in {trace.files} files; relays write one where they are "
+            "started with PROXY_TRACE=-"
+        )
     return trace
--- a/scaledeal/lab/account/tables.py
+++ b/scaledeal/lab/account/tables.py
@@ -10,8 +10,22 @@
 from scaledeal.lab.account.ledger import UNKNOWN, Ledger, ranked
 from scaledeal.lab.account.reading import Trace
 
-SECONDS = ("s", "new", "again", "refused", "moved", "broken", "sent", "wasted", "probes", "rung", "asked", "over 1",
-           "cold", "lost most to")
+SECONDS = (
+    "s",
+    "new",
+    "again",
+    "refused",
+    "moved",
+    "broken",
+    "sent",
+    "wasted",
+    "probes",
+    "rung",
+    "asked",
+    "over 1",
+    "cold",
+    "lost most to",
+)
 ROWS = 24  # causes, relays or servers that a table shows
 
 
@@ -21,8 +35,10 @@
     width = [max(len(row[i]) for row in [list(head), *cells]) for i in range(len(head))]
     numbers = [all(_is_number(row[i]) for row in cells if row[i]) for i in range(len(head))]
     layout = list(zip(width, numbers, strict=True))
-    return ["  ".join(c.rjust(w) if right else c.ljust(w) for c, (w, right) in zip(row, layout, strict=True)).rstrip()
-            for row in [list(head), *cells]]
+    return [
+        "  ".join(c.rjust(w) if right else c.ljust(w) for c, (w, right) in zip(row, layout, strict=True)).rstrip()
+        for row in [list(head), *cells]
+    ]
 
 
 def _is_number(text: str) -> bool:
@@ -40,18 +56,34 @@
     p = ledger.prices
     firsts = max(1, p.firsts)
     return {
-        "files": trace.files, "lines": len(trace.lines), "spoilt": trace.spoilt, "relays": ledger.relays,
-        "span_s": round(ledger.end - ledger.start, 3), "worth_asked_s": round(asked, 1),
+        "files": trace.files,
+        "lines": len(trace.lines),
+        "spoilt": trace.spoilt,
+        "relays": ledger.relays,
+        "span_s": round(ledger.end - ledger.start, 3),
+        "worth_asked_s": round(asked, 1),
         "lost_share": round(sum(lost.values()) / asked, 4) if asked else 0.0,
         "unattributed_share": round(lost.get(UNKNOWN, 0.0) / (sum(lost.values()) or 1.0), 4),
         "lost": {cause: round(amount, 1) for cause, amount in lost.items()},
         "by_class": {name: {c: round(a, 1) for c, a in row.items()} for name, row in ledger.by_class().items()},
         "by_relay": {name: round(amount, 1) for name, amount in ledger.by_relay().items()},
-        "prices": {"firsts": p.firsts, "again": p.again, "attempts": p.attempts, "wasted": p.wasted, "far": p.far,
-                   "moves": dict(p.moves), "probes": p.probes, "calls": p.calls,
-                   "per_first": {"far": round(p.far / firsts, 3), "moves": round(sum(p.moves.values()) / firsts, 3),
-                                 "probes": round(p.probes / firsts, 2), "attempts": round(p.attempts / firsts, 2),
-                                 "again": round(p.again / firsts, 2)}},
+        "prices": {
+            "firsts": p.firsts,
+            "again": p.again,
+            "attempts": p.attempts,
+            "wasted": p.wasted,
+            "far": p.far,
+            "moves": dict(p.moves),
+            "probes": p.probes,
+            "calls": p.calls,
+            "per_first": {
+                "far": round(p.far / firsts, 3),
+                "moves": round(sum(p.moves.values()) / firsts, 3),
+                "probes": round(p.probes / firsts, 2),
+                "attempts": round(p.attempts / firsts, 2),
+                "again": round(p.again / firsts, 2),
+            },
+        },
         "returns": dict(ledger.returns.most_common()),
         "came_times": {str(times): count for times, count in sorted(often.items())},
         "sent_to_again": dict(servers.most_common(ROWS)),
@@ -61,13 +93,22 @@
 
 def _second(ledger: Ledger, second: int) -> dict[str, Any]:
     row = ledger.seconds[second]
-    return {"s": second - int(ledger.start), "new": row.new, "again": row.again, "refused": row.refused,
-            "moved": row.moved, "broken": row.broken, "attempts": row.attempts, "wasted": row.wasted,
-            "probes": row.probes, "rung": round(mean(row.rungs), 2) if row.rungs else 0.0,
-            "asked": round(median(row.asked), 2) if row.asked else None,
-            "over": round(mean(a > 1 for a in row.asked), 2) if row.asked else None,
-            "cold": round(median(row.cold), 2) if row.cold else None,
-            "lost": {cause: round(amount, 1) for cause, amount in ranked(row.lost).items()}}
+    return {
+        "s": second - int(ledger.start),
+        "new": row.new,
+        "again": row.again,
+        "refused": row.refused,
+        "moved": row.moved,
+        "broken": row.broken,
+        "attempts": row.attempts,
+        "wasted": row.wasted,
+        "probes": row.probes,
+        "rung": round(mean(row.rungs), 2) if row.rungs else 0.0,
+        "asked": round(median(row.asked), 2) if row.asked else None,
+        "over": round(mean(a > 1 for a in row.asked), 2) if row.asked else None,
+        "cold": round(median(row.cold), 2) if row.cold else None,
+        "lost": {cause: round(amount, 1) for cause, amount in ranked(row.lost).items()},
+    }
 
 
 def as_text(ledger: Ledger, trace: Trace) -> str:
@@ -75,12 +116,17 @@
     told = as_object(ledger, trace)
     total = sum(ledger.lost().values()) or 1.0
     asked = told["worth_asked_s"] or 1.0
-    out = [f"{told['relays']} relays, {told['lines']} lines of {told['files']} files, "
-           f"{told['spoilt']} could not be read, {told['span_s']:.1f} s",
-           f"worth asked for {asked:.0f}, lost {told['lost_share']:.1%} of it, "
-           f"of that {told['unattributed_share']:.1%} {UNKNOWN}", ""]
-    out += table(("cause", "worth x s", "of lost", "of asked"),
-                 [(c, a, f"{a / total:.1%}", f"{a / asked:.1%}") for c, a in list(ledger.lost().items())[:ROWS]])
+    out = [
+        f"{told['relays']} relays, {told['lines']} lines of {told['files']} files, "
+        f"{told['spoilt']} could not be read, {told['span_s']:.1f} s",
+        f"worth asked for {asked:.0f}, lost {told['lost_share']:.1%} of it, "
+        f"of that {told['unattributed_share']:.1%} {UNKNOWN}",
+        "",
+    ]
+    out += table(
+        ("cause", "worth x s", "of lost", "of asked"),
+        [(c, a, f"{a / total:.1%}", f"{a / asked:.1%}") for c, a in list(ledger.lost().items())[:ROWS]],
+    )
     for name, row in told["by_class"].items():
         out += ["", f"class {name}: seconds"]
         out += table(("cause", "s"), [(cause, amount) for cause, amount in list(row.items())[:6]])
@@ -98,8 +144,20 @@
 def _text_second(row: dict[str, Any]) -> tuple[object, ...]:
     most = next((f"{cause} {amount:.0f}" for cause, amount in row["lost"].items()), "")
     seen = ["" if row[name] is None else row[name] for name in ("asked", "over", "cold")]
-    return (row["s"], row["new"], row["again"], row["refused"], row["moved"], row["broken"], row["attempts"],
-            row["wasted"], row["probes"], row["rung"], *seen, most)
+    return (
+        row["s"],
+        row["new"],
+        row["again"],
+        row["refused"],
+        row["moved"],
+        row["broken"],
+        row["attempts"],
+        row["wasted"],
+        row["probes"],
+        row["rung"],
+        *seen,
+        most,
+    )
 
 
 def story(visits: list[Visit], start: float) -> str:
@@ -107,14 +165,20 @@
     out = []
     for visit in visits:
         stood = f" stood at {visit.server}" if visit.up == visit.began else ""
-        out.append(f"{visit.began - start:8.3f}  {visit.relay}  id {visit.id} class {visit.cls}"
-                   + (" again" if visit.again else "") + stood)
+        out.append(
+            f"{visit.began - start:8.3f}  {visit.relay}  id {visit.id} class {visit.cls}"
+            + (" again" if visit.again else "")
+            + stood
+        )
         out += [f"{attempt.began - start:8.3f}    {_attempt(attempt)}" for attempt in visit.attempts]
         for late in visit.late:
             out.append(f"{late.sent - start:8.3f}    message late: {late.ms:.0f} ms")
         if visit.ended:
-            out.append(f"{visit.ended - start:8.3f}    {visit.end.value}" + (f": {visit.why}" if visit.why else "")
-                       + (f", rung {visit.rung}" if visit.rung else ""))
+            out.append(
+                f"{visit.ended - start:8.3f}    {visit.end.value}"
+                + (f": {visit.why}" if visit.why else "")
+                + (f", rung {visit.rung}" if visit.rung else "")
+            )
     return "\n".join(out)
 
 
@@ -122,5 +186,6 @@
     told = "nothing known" if attempt.asked < 0 else f"asked {attempt.asked:.2f}, told {attempt.told_ms:.0f} ms ago"
     marks = "".join(f", {word}" for word, on in (("cold", attempt.cold), ("far", attempt.far)) if on)
     took = ((attempt.ended or attempt.began) - attempt.began) * 1000
-    return (f"to {attempt.server} ({told}{marks}), rung {attempt.rung}: {attempt.result or 'still out'} "
-            f"after {took:.0f} ms")
+    return (
+        f"to {attempt.server} ({told}{marks}), rung {attempt.rung}: {attempt.result or 'still out'} after {took:.0f} ms"
+    )
--- a/scaledeal/lab/discovery.py
+++ b/scaledeal/lab/discovery.py
@@ -34,8 +34,16 @@
     def put(self, name: str, address: str, status: str = "active") -> None:
         """List a tile server, or change its entry."""
         self.index += 1
-        self.entries[name] = {"name": name, "address": address, "zone": "a", "type": "m", "group": 0,
-                              "status": status, "weight": 1.0, "since_ms": 0}
+        self.entries[name] = {
+            "name": name,
+            "address": address,
+            "zone": "a",
+            "type": "m",
+            "group": 0,
+            "status": status,
+            "weight": 1.0,
+            "since_ms": 0,
+        }
         self.changed[name] = self.index
         for caller, after in list(self.callers.items()):
             if after is not None:
@@ -72,5 +80,6 @@
             listed = [entry for entry in listed if entry["status"] != "left"]
         body = msgspec.json.encode({"index": self.index, "snapshot": after is None, "endpoints": listed})
         self.callers[caller] = None
-        caller.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
-                       % (len(body), body))
+        caller.sendall(
+            b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+        )
--- a/scaledeal/lab/experiments/statistics.py
+++ b/scaledeal/lab/experiments/statistics.py
@@ -31,10 +31,13 @@
     further: int  # seeds that would tell, 0 where it is told, -1 where no number would
 
     def __str__(self) -> str:
-        more = {0: "", -1: "; they are alike, as far as these seeds go"}.get(self.further,
-                                                                           f"; {self.further} more seeds would tell")
-        return (f"{self.verdict}: {self.second:.4f} against {self.first:.4f}, difference {self.difference:+.4f} "
-                f"[{self.low:+.4f}, {self.high:+.4f}] over {self.pairs} pairs{more}")
+        more = {0: "", -1: "; they are alike, as far as these seeds go"}.get(
+            self.further, f"; {self.further} more seeds would tell"
+        )
+        return (
+            f"{self.verdict}: {self.second:.4f} against {self.first:.4f}, difference {self.difference:+.4f} "
+            f"[{self.low:+.4f}, {self.high:+.4f}] over {self.pairs} pairs{more}"
+        )
 
 
 def compare(first: Sequence[float], second: Sequence[float], level: float = 0.95) -> Verdict:
--- a/scaledeal/lab/experiments/sweep.py
+++ b/scaledeal/lab/experiments/sweep.py
@@ -67,8 +67,13 @@
     return [Job(text, seed, host, variant, stop=False) for text in texts for seed in seeds for variant in variants]
 
 
-def sweep(jobs: list[Job], store: Store, experiment: str, workers: int, stopped: Callable[[], bool] = lambda: False,
-          ) -> Iterator[tuple[Outcome, bool]]:
+def sweep(
+    jobs: list[Job],
+    store: Store,
+    experiment: str,
+    workers: int,
+    stopped: Callable[[], bool] = lambda: False,
+) -> Iterator[tuple[Outcome, bool]]:
     """Yield the outcome of every job and whether it was kept from before; new ones are kept as they come."""
     missing = []
     for job in jobs:
@@ -104,8 +109,9 @@
     return [(a[seed], b[seed]) for seed in sorted(a.keys() & b.keys()) if not (a[seed].error or b[seed].error)]
 
 
-def _row(title: str, first: str, second: str, pairs: list[tuple[Outcome, Outcome]],
-         figure: Callable[[Outcome], float]) -> Row:
+def _row(
+    title: str, first: str, second: str, pairs: list[tuple[Outcome, Outcome]], figure: Callable[[Outcome], float]
+) -> Row:
     verdict = compare([figure(a) for a, _ in pairs], [figure(b) for _, b in pairs])
     broken = (sum(bool(a.violations) for a, _ in pairs), sum(bool(b.violations) for _, b in pairs))
     return Row(title, first, second, verdict, broken)
--- a/scaledeal/lab/fencing.py
+++ b/scaledeal/lab/fencing.py
@@ -117,8 +117,9 @@
             # The token's secret, and the last one that may have taken its place without the client's hearing so.
             again = ("resume", server, client.epoch, client.secret, client.committed, new)
             known = msgspec.structs.replace(client, committed=new)
-            found.append((f"client resumes at {server}",
-                          msgspec.structs.replace(world, net=world.net | {again}, client=known)))
+            found.append(
+                (f"client resumes at {server}", msgspec.structs.replace(world, net=world.net | {again}, client=known))
+            )
     return found
 
 
@@ -177,9 +178,15 @@
     if not rules.commit_anew:
         after = msgspec.structs.replace(after, commitment=world.register.commitment)
     server, shown = Server(after.epoch, after.applied, after.applied), (epoch, secret, last, new)
-    return _with(world, number, server, register=after, honoured=world.honoured | {shown},
-                 twice=world.twice or shown in world.honoured,
-                 net=world.net | {("up", number, after.epoch, after.applied, new)})
+    return _with(
+        world,
+        number,
+        server,
+        register=after,
+        honoured=world.honoured | {shown},
+        twice=world.twice or shown in world.honoured,
+        net=world.net | {("up", number, after.epoch, after.applied, new)},
+    )
 
 
 def _ack(world: World, rules: Rules, epoch: int, line: int) -> World | None:
@@ -206,8 +213,10 @@
     "one final answer": lambda fields: fields["world"].byes <= 1,
     "a resume is honoured once": lambda fields: not fields["world"].twice,
     "no line twice": lambda fields: max(fields["world"].effects) <= 1,
-    "no line lost": lambda fields: (fields["world"].client.acknowledged <= fields["world"].register.applied
-                                    and (not fields["world"].byes or min(fields["world"].effects) == 1)),
+    "no line lost": lambda fields: (
+        fields["world"].client.acknowledged <= fields["world"].register.applied
+        and (not fields["world"].byes or min(fields["world"].effects) == 1)
+    ),
 }
 
 
@@ -216,6 +225,11 @@
 
 def protocol(rules: Rules = SOUND) -> Protocol:
     """Return the model for the checker."""
-    return Protocol(name="fencing", candidate=False, fields=("world",), initial=(start(),),
-                    transitions=lambda state: [(label, (after,)) for label, after in steps(state[0], rules)],
-                    invariants=INVARIANTS)
+    return Protocol(
+        name="fencing",
+        candidate=False,
+        fields=("world",),
+        initial=(start(),),
+        transitions=lambda state: [(label, (after,)) for label, after in steps(state[0], rules)],
+        invariants=INVARIANTS,
+    )
--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -183,9 +183,16 @@
         self._numbered = 0
         self._cost = int(day.relays.event * 1000 / day.relays.cores)
         self._do: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.Move: self._move, api.Probe: self._probe, api.Watch: lambda _: self._watch(),
-            api.SetTimer: self._set_timer, api.Log: lambda _: None}
+            api.Send: self._send,
+            api.Refuse: self._refuse,
+            api.Fail: self._fail,
+            api.Cancel: self._cancel,
+            api.Move: self._move,
+            api.Probe: self._probe,
+            api.Watch: lambda _: self._watch(),
+            api.SetTimer: self._set_timer,
+            api.Log: lambda _: None,
+        }
 
     # Events
 
@@ -225,8 +232,17 @@
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
         fleet.witness.asked(client.id, self.door.name, now, flight.deadline)
-        self.post(api.Request(flight.name, client.cls, flight.deadline, client.key, client.group,
-                              client.tenant, returning=client.stood))
+        self.post(
+            api.Request(
+                flight.name,
+                client.cls,
+                flight.deadline,
+                client.key,
+                client.group,
+                client.tenant,
+                returning=client.stood,
+            )
+        )
 
     def stands(self, client: Client, server: TileServer) -> None:
         """Have a client's connection stand from before the run."""
@@ -272,7 +288,9 @@
         if stood and not flight.answered:
             flight.answered = True
             how: dict[api.Result, Callable[[Client], None]] = {
-                api.Result.CANCELLED: lambda client: self._counted(client, "sent_away"), api.Result.OK: lambda _: None}
+                api.Result.CANCELLED: lambda client: self._counted(client, "sent_away"),
+                api.Result.OK: lambda _: None,
+            }
             self._to_client(flight, how.get(result, lambda client: client.broken()))
         if not stood and result is not api.Result.OK:
             self.fleet.service.count("wasted", self.fleet.kernel.now)
@@ -377,8 +395,10 @@
 
     def _call(self) -> None:
         self.fleet.service.count("calls", self.fleet.kernel.now)
-        self.fleet.kernel.after(self.fleet.paths.times[self.door.zone][0], lambda: self.fleet.directory.call(
-            self.index, WATCH, self._listed))
+        self.fleet.kernel.after(
+            self.fleet.paths.times[self.door.zone][0],
+            lambda: self.fleet.directory.call(self.index, WATCH, self._listed),
+        )
 
     def _listed(self, answer: Answer | None) -> None:
         if not self.alive:
@@ -438,8 +458,10 @@
     def _to_client(self, flight: Flight, tell: Callable[[Client], None]) -> None:
         client = flight.client
         self.host.here.pop(client.number, None) if flight.answered else None
-        self.fleet.kernel.after(self.fleet.paths.client_time(self.draw),
-                                lambda: tell(client) if client.id == flight.id and not client.over else None)
+        self.fleet.kernel.after(
+            self.fleet.paths.client_time(self.draw),
+            lambda: tell(client) if client.id == flight.id and not client.over else None,
+        )
 
     def _forget(self, flight: Flight) -> None:
         self.flights.pop(flight.name, None)
@@ -509,8 +531,7 @@
         self.fleet.witness.relay_died(relay.door.name, self.fleet.kernel.now)
         relay.dies()
         low, high = self.fleet.day.relays.notice
-        self.fleet.kernel.after(int(relay.draw.uniform(low, high) if low < high else low),
-                                lambda: self._notice(relay))
+        self.fleet.kernel.after(int(relay.draw.uniform(low, high) if low < high else low), lambda: self._notice(relay))
         self._start_later(number)
 
     def restart(self, number: int) -> None:
@@ -551,8 +572,17 @@
         flight.attempt.host = new
         new.flights[flight.name] = flight
         self.here[flight.client.number] = (new, flight)
-        new.post(api.OpenConnection(flight.name, flight.client.cls, flight.attempt.server.name, flight.client.key,
-                                    flight.client.group, flight.client.tenant, inherited=True))
+        new.post(
+            api.OpenConnection(
+                flight.name,
+                flight.client.cls,
+                flight.attempt.server.name,
+                flight.client.key,
+                flight.client.group,
+                flight.client.tenant,
+                inherited=True,
+            )
+        )
 
     def _notice(self, relay: ModuleRelay) -> None:
         if self.relays[relay.door.number] is relay:
@@ -607,7 +637,16 @@
 def membership(fleet: Fleet, answer: Answer) -> api.Membership:
     """Translate discovery's answer for the decision module."""
     zones = {name: number for number, name in enumerate(fleet.day.zones)}
-    entries = tuple(api.ServerEntry(each.name, _STATES[each.status], int((each.since_ms - EPOCH) * MS) if each.since_ms
-                                    else 0, zones[each.zone], each.weight, each.group) for each in answer.entries)
+    entries = tuple(
+        api.ServerEntry(
+            each.name,
+            _STATES[each.status],
+            int((each.since_ms - EPOCH) * MS) if each.since_ms else 0,
+            zones[each.zone],
+            each.weight,
+            each.group,
+        )
+        for each in answer.entries
+    )
     kind = api.MembershipKind.FULL if answer.snapshot else api.MembershipKind.CHANGES
     return api.Membership(kind, entries)
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -34,8 +34,16 @@
 DISCOVERY = ("10.2.0.1", 8500)
 TERM = 3700 * MS  # from SIGTERM until SIGKILL
 STOPS = 300 * MS  # after SIGTERM for which new connections still come
-BAD = (b"", b"OPEN half", b"NONSENSE\r\n", b"OPEN a b c=none,d=9\r\n", b"OPEN a b c=x,d=-4\r\n", b"x" * 9000,
-       b"PING\r\n" * 400, b"\xff\xfe\r\n")
+BAD = (
+    b"",
+    b"OPEN half",
+    b"NONSENSE\r\n",
+    b"OPEN a b c=none,d=9\r\n",
+    b"OPEN a b c=x,d=-4\r\n",
+    b"x" * 9000,
+    b"PING\r\n" * 400,
+    b"\xff\xfe\r\n",
+)
 
 
 class SimSystem(System):
@@ -55,6 +63,7 @@
     def port(self, clients: bool, port: int, factory: Any, backlog: int, host: str, reactor: Reactor) -> Port:
         """Return a simulated listening socket."""
         from scaledeal.lab.hosts.relay import reactor as simulated
+
         return cast(Port, simulated.Port(self.reactor, host, port, factory, backlog))
 
 
@@ -199,8 +208,10 @@
             if door is None or client.number not in places:
                 continue
             client.id, client.asking = f"c{client.number}.0", True
-            self.fleet.kernel.after(int(draw.random() * 100 * MS) + 20 * MS, lambda c=client, d=door, s=places[
-                client.number].name: self._come(c, d, s))  # type: ignore[misc]
+            self.fleet.kernel.after(
+                int(draw.random() * 100 * MS) + 20 * MS,
+                lambda c=client, d=door, s=places[client.number].name: self._come(c, d, s),
+            )  # type: ignore[misc]
 
     def _bad_comes(self) -> None:
         if self.fleet.kernel.now >= self.fleet.day.seconds:
@@ -255,8 +266,9 @@
         self.fleet.witness.relay_died(running.door.name, self.fleet.kernel.now)
         running.ends()
         low, high = self.fleet.day.relays.notice
-        self.fleet.kernel.after(int(running.draw.uniform(low, high) if low < high else low),
-                                lambda: self._notice(running))
+        self.fleet.kernel.after(
+            int(running.draw.uniform(low, high) if low < high else low), lambda: self._notice(running)
+        )
         self._start_later(running)
 
     def restart(self, number: int) -> None:
@@ -289,14 +301,26 @@
         fleet, door = self.fleet, running.door
         told = told_to(fleet, door)
         known = [entry for entry in fleet.directory.entries.values() if entry.status != "left"]
-        endpoints = tuple(Endpoint(each.name, each.address, each.zone, each.group, cast(Any, each.status), each.weight,
-                                   each.since_ms) for each in known)
+        endpoints = tuple(
+            Endpoint(each.name, each.address, each.zone, each.group, cast(Any, each.status), each.weight, each.since_ms)
+            for each in known
+        )
         for entry in known:
             fleet.witness.told(door.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now)
         host, port = self.address(door)
-        return Config(door.name, Address(host, port), Address(*DISCOVERY), None, "", None,
-                      int(running.draw.integers(1 << 62)), fleet.day.relays.sockets,
-                      Roster(fleet.directory.index, True, endpoints), told, told.settings())
+        return Config(
+            door.name,
+            Address(host, port),
+            Address(*DISCOVERY),
+            None,
+            "",
+            None,
+            int(running.draw.integers(1 << 62)),
+            fleet.day.relays.sockets,
+            Roster(fleet.directory.index, True, endpoints),
+            told,
+            told.settings(),
+        )
 
     def _notice(self, running: Running) -> None:
         if self.running[running.door.number] is running:
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -301,11 +301,22 @@
         fleet = self.host.fleet
         now = fleet.kernel.now
         fleet.service.count("lines", now, len(answer.entries))
-        listed = [{"name": each.name, "address": each.address, "zone": each.zone, "type": each.kind,
-                   "group": each.group, "status": each.status, "weight": each.weight, "since_ms": each.since_ms}
-                  for each in answer.entries]
-        self._say(b"200 OK", msgspec.json.encode({"index": answer.index, "snapshot": answer.snapshot,
-                                                  "endpoints": listed}))
+        listed = [
+            {
+                "name": each.name,
+                "address": each.address,
+                "zone": each.zone,
+                "type": each.kind,
+                "group": each.group,
+                "status": each.status,
+                "weight": each.weight,
+                "since_ms": each.since_ms,
+            }
+            for each in answer.entries
+        ]
+        self._say(
+            b"200 OK", msgspec.json.encode({"index": answer.index, "snapshot": answer.snapshot, "endpoints": listed})
+        )
         told(fleet, self.relay, answer, now)
 
     def _say(self, status: bytes, body: bytes) -> None:
--- a/scaledeal/lab/hosts/relay/reactor.py
+++ b/scaledeal/lab/hosts/relay/reactor.py
@@ -40,8 +40,9 @@
 class Process:
     """One core that does one thing after another, and a table of descriptors."""
 
-    def __init__(self, net: Net, machine: Machine, cost: int, descriptors: int,
-                 crashed: Callable[[BaseException], None]) -> None:
+    def __init__(
+        self, net: Net, machine: Machine, cost: int, descriptors: int, crashed: Callable[[BaseException], None]
+    ) -> None:
         """``cost`` is the ns of its core for each thing that it does."""
         self.net, self.machine, self.cost, self.most = net, machine, cost, descriptors
         self.crashed = crashed
@@ -90,8 +91,9 @@
 class DelayedCall:
     """A call that is due later."""
 
-    def __init__(self, reactor: SimReactor, at: int, call: Callable[..., object], args: tuple[Any, ...],
-                 named: dict[str, Any]) -> None:
+    def __init__(
+        self, reactor: SimReactor, at: int, call: Callable[..., object], args: tuple[Any, ...], named: dict[str, Any]
+    ) -> None:
         self.reactor, self.at = reactor, at
         self.call, self.args, self.named = call, args, named
         self.called = self.cancelled = False
@@ -379,8 +381,12 @@
             return
         self.timer = reactor.callLater(timeout, self._failed, error.TimeoutError())
         self.dial: Dial | None = reactor.net.dial(
-            reactor.process.machine, reactor.host, (host, port), lambda end: reactor.process.do(lambda: self._up(end)),
-            lambda: reactor.process.do(lambda: self._failed(error.ConnectionRefusedError())))
+            reactor.process.machine,
+            reactor.host,
+            (host, port),
+            lambda end: reactor.process.do(lambda: self._up(end)),
+            lambda: reactor.process.do(lambda: self._failed(error.ConnectionRefusedError())),
+        )
 
     def stopConnecting(self) -> None:  # noqa: N802
         """Give it up."""
@@ -453,8 +459,9 @@
             self.startReading()
             return
         try:
-            self.listener = self.reactor.net.listen(self.reactor.process.machine, (self.host, self.port), self.backlog,
-                                                    self._ready)
+            self.listener = self.reactor.net.listen(
+                self.reactor.process.machine, (self.host, self.port), self.backlog, self._ready
+            )
         except OSError as failure:
             raise error.CannotListenError(self.host, self.port, failure) from None
         self.reactor.process.takes()
@@ -620,6 +627,7 @@
     def resolve(self, name: str, timeout: Sequence[int] = ()) -> Any:
         """Return a name as it is."""
         from twisted.internet.defer import succeed
+
         return succeed(name)
 
     def run(self) -> None:
--- a/scaledeal/lab/hosts/relay/sockets.py
+++ b/scaledeal/lab/hosts/relay/sockets.py
@@ -74,7 +74,7 @@
         size = self.net.segment
         self.flying += len(data)
         for at in range(0, len(data), size):
-            self._fly(lambda part=data[at:at + size]: self._arrives(part))  # type: ignore[misc]
+            self._fly(lambda part=data[at : at + size]: self._arrives(part))  # type: ignore[misc]
         return len(data)
 
     def recv(self, most: int) -> bytes | None:
@@ -182,8 +182,10 @@
         was_full = peer.flying >= WINDOW
         peer.flying -= count
         if was_full and peer.owner is not None and not peer.closed:
-            self.net.kernel.after(self.net.way(self.machine, peer.machine),
-                                  lambda: peer.owner.writable() if peer.owner and not peer.closed else None)
+            self.net.kernel.after(
+                self.net.way(self.machine, peer.machine),
+                lambda: peer.owner.writable() if peer.owner and not peer.closed else None,
+            )
 
 
 class Listener:
@@ -214,8 +216,15 @@
 class Dial:
     """A connection that is being opened."""
 
-    def __init__(self, net: Net, machine: Machine, local: Address, remote: Address, up: Callable[[End], None],
-                 failed: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        net: Net,
+        machine: Machine,
+        local: Address,
+        remote: Address,
+        up: Callable[[End], None],
+        failed: Callable[[], None],
+    ) -> None:
         self.net, self.machine, self.local, self.remote = net, machine, local, remote
         self.up, self.failed = up, failed
         self.over = False
@@ -299,8 +308,9 @@
         listener = self.listeners[address] = Listener(self, machine, address, backlog, ready)
         return listener
 
-    def dial(self, machine: Machine, host: str, remote: Address, up: Callable[[End], None],
-             failed: Callable[[], None]) -> Dial:
+    def dial(
+        self, machine: Machine, host: str, remote: Address, up: Callable[[End], None], failed: Callable[[], None]
+    ) -> Dial:
         """Open a connection; ``up`` or ``failed`` is called, or neither where nothing comes back."""
         self._ports += 1
         return Dial(self, machine, (host, self._ports), remote, up, failed)
--- a/scaledeal/lab/hunt/party.py
+++ b/scaledeal/lab/hunt/party.py
@@ -60,8 +60,16 @@
     return msgspec.structs.replace(small, note=str(violation) if violation else "")
 
 
-def hunted(tries: int, seed: int, host: HostName, source: str, workers: int, say: Say,
-           against: str | None = None, near: Scenario | None = None) -> Iterator[Case]:
+def hunted(
+    tries: int,
+    seed: int,
+    host: HostName,
+    source: str,
+    workers: int,
+    say: Say,
+    against: str | None = None,
+    near: Scenario | None = None,
+) -> Iterator[Case]:
     """Yield one shrunk case for each rule that breaks, the first found of each.
 
     With ``against``, another module's source, only days are taken on which that one keeps every rule. With ``near``,
@@ -69,8 +77,9 @@
     """
     seen: dict[str, int] = {}  # how many days broke each rule
     cases = {number: case_of(seed, number, host, near) for number in range(tries)}
-    lots = [{number: cases[number] for number in range(at, min(tries, at + AT_ONCE))}
-            for at in range(0, tries, AT_ONCE)]
+    lots = [
+        {number: cases[number] for number in range(at, min(tries, at + AT_ONCE))} for at in range(0, tries, AT_ONCE)
+    ]
     worst = (2.0, -1)
     with ProcessPoolExecutor(workers) as pool:
         try:
@@ -84,7 +93,9 @@
                         yield shrunk(msgspec.structs.replace(cases[number], rule=rule), source, against)
                 if done % 10 == 0 or done == len(lots):
                     broken = ", ".join(f"{rule} on {many}" for rule, many in sorted(seen.items()) if rule) or "none"
-                    say(f"{min(tries, done * AT_ONCE)} of {tries} days, rules broken: {broken}; "
-                        f"worst G so far {worst[0]:.3f} (day {worst[1]})")
+                    say(
+                        f"{min(tries, done * AT_ONCE)} of {tries} days, rules broken: {broken}; "
+                        f"worst G so far {worst[0]:.3f} (day {worst[1]})"
+                    )
         except BrokenProcessPool:
             say("a worker died: what it played is lost, the days that were told stand")
--- a/scaledeal/lab/hunt/shrink.py
+++ b/scaledeal/lab/hunt/shrink.py
@@ -53,7 +53,7 @@
     """Yield days with less in them, the boldest steps first."""
     day = case.day
     for place in range(len(day.trouble)):
-        yield _with(case, trouble=day.trouble[:place] + day.trouble[place + 1:])
+        yield _with(case, trouble=day.trouble[:place] + day.trouble[place + 1 :])
     if day.clients.load > 0.02:
         for factor in (0.25, 0.5, 0.8):
             yield _with(case, clients=msgspec.structs.replace(day.clients, load=day.clients.load * factor))
--- a/scaledeal/lab/kernel/clock.py
+++ b/scaledeal/lab/kernel/clock.py
@@ -62,6 +62,7 @@
 
     def every(self, period: int, call: Callable[[], object], first: int | None = None) -> None:
         """Call again and again, for as long as the run lasts."""
+
         def again() -> None:
             call()
             self.after(period, again)
--- a/scaledeal/lab/leasing.py
+++ b/scaledeal/lab/leasing.py
@@ -98,12 +98,19 @@
 
 
 def _kept(relay: Relay, seat: Seat) -> Relay:
-    return Relay(relay.pace, relay.clock, seat.grant, seat.learned_at, seat.holds_until,
-                 tuple(sorted(seat.asked.items())), seat.asked_at)
+    return Relay(
+        relay.pace,
+        relay.clock,
+        seat.grant,
+        seat.learned_at,
+        seat.holds_until,
+        tuple(sorted(seat.asked.items())),
+        seat.asked_at,
+    )
 
 
 def _with(world: World, number: int, relay: Relay, **more: Any) -> World:
-    relays = (*world.relays[:number], relay, *world.relays[number + 1:])
+    relays = (*world.relays[:number], relay, *world.relays[number + 1 :])
     return msgspec.structs.replace(world, relays=relays, **more)
 
 
@@ -114,16 +121,21 @@
         found.append((f"n{number} looks at its lease", msgspec.structs.replace(world, acts=world.acts | {token})))
     if (command := seat.due(relay.clock)) is not None and command not in world.proposed:
         proposed = world.proposed | {command}
-        found.append((f"n{number} asks {type(command).__name__}",
-                      _with(world, number, _kept(relay, seat), proposed=proposed)))
+        found.append(
+            (f"n{number} asks {type(command).__name__}", _with(world, number, _kept(relay, seat), proposed=proposed))
+        )
     for grant in world.told:
         if (grant.token, grant.beat) > (relay.grant.token, relay.grant.beat):
             seat = _seat(number, relay, rules)
             seat.learned(relay.clock, grant)
             if not rules.from_sending and grant.holder == seat.name:
                 seat.holds_until = relay.clock + SPAN
-            found.append((f"n{number} learns {grant.holder} {grant.token}.{grant.beat}",
-                          _tidied(_with(world, number, _kept(relay, seat)), rules)))
+            found.append(
+                (
+                    f"n{number} learns {grant.holder} {grant.token}.{grant.beat}",
+                    _tidied(_with(world, number, _kept(relay, seat)), rules),
+                )
+            )
     return found
 
 
@@ -144,16 +156,21 @@
     at = (world.agreed.token, world.agreed.beat)
     open_ = frozenset(c for c in world.proposed if (c.token, c.beat if rules.compare else at[1]) >= at)  # type: ignore[union-attr]
     known = min((each.grant.token, each.grant.beat) for each in world.relays)
-    return msgspec.structs.replace(world, proposed=open_, told=frozenset(
-        each for each in world.told if (each.token, each.beat) > known))
+    return msgspec.structs.replace(
+        world, proposed=open_, told=frozenset(each for each in world.told if (each.token, each.beat) > known)
+    )
 
 
 def _acted(world: World, token: int, rules: Rules) -> World:
     fence = Fence()
     fence.highest = world.highest
     went = fence.admits(token) or not rules.check
-    return msgspec.structs.replace(world, highest=max(world.highest, token), acts=world.acts - {token},
-                                   late=world.late or (went and token < world.highest))
+    return msgspec.structs.replace(
+        world,
+        highest=max(world.highest, token),
+        acts=world.acts - {token},
+        late=world.late or (went and token < world.highest),
+    )
 
 
 def _one_holder(fields: dict[str, Any]) -> bool:
@@ -170,6 +187,11 @@
 
 def protocol(rules: Rules = SOUND, paces: tuple[int, ...] = (SLOW, FAST), ticks: int = ENDS) -> Protocol:
     """Return the model for the checker."""
-    return Protocol(name="leasing", candidate=False, fields=("world",), initial=(start(paces, ticks),),
-                    transitions=lambda state: [(label, (then,)) for label, then in steps(state[0], rules)],
-                    invariants=INVARIANTS)
+    return Protocol(
+        name="leasing",
+        candidate=False,
+        fields=("world",),
+        initial=(start(paces, ticks),),
+        transitions=lambda state: [(label, (then,)) for label, then in steps(state[0], rules)],
+        invariants=INVARIANTS,
+    )
--- a/scaledeal/lab/muster.py
+++ b/scaledeal/lab/muster.py
@@ -88,8 +88,7 @@
 
     def blamed(self) -> set[tuple[str, str]]:
         """Return who is held to be dead by whom, though it runs."""
-        return {(each, name) for each in self.up() for name in self.up()
-                if self.relays[each].state(name) is State.DEAD}
+        return {(each, name) for each in self.up() for name in self.up() if self.relays[each].state(name) is State.DEAD}
 
     # Inside
 
--- a/scaledeal/lab/quic/checker.py
+++ b/scaledeal/lab/quic/checker.py
@@ -90,8 +90,17 @@
     pair.setup_initial(header.destination_cid, is_client=False, version=header.version)
     payload = frames.ljust(24, b"\0")
     length = 4 + len(payload) + 16
-    plain = (bytes((0xC3,)) + header.version.to_bytes(4, "big") + bytes((len(header.source_cid),))
-             + header.source_cid + bytes((len(scid),)) + scid + b"\0" + (length | 0x4000).to_bytes(2, "big") + bytes(4))
+    plain = (
+        bytes((0xC3,))
+        + header.version.to_bytes(4, "big")
+        + bytes((len(header.source_cid),))
+        + header.source_cid
+        + bytes((len(scid),))
+        + scid
+        + b"\0"
+        + (length | 0x4000).to_bytes(2, "big")
+        + bytes(4)
+    )
     return pair.encrypt_packet(plain, payload, 0)
 
 
--- a/scaledeal/lab/quic/client.py
+++ b/scaledeal/lab/quic/client.py
@@ -20,9 +20,17 @@
 class Client:
     """One connection, from its first Initial to its end; owns its UDP socket."""
 
-    def __init__(self, loop: Loop, relay: Source, record: Record, server_name: str = "maps.example",
-                 mangle: Mangle | None = None, protocols: list[str] | None = None, host: str = "127.0.0.1",
-                 patience: float = 8.0) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        relay: Source,
+        record: Record,
+        server_name: str = "maps.example",
+        mangle: Mangle | None = None,
+        protocols: list[str] | None = None,
+        host: str = "127.0.0.1",
+        patience: float = 8.0,
+    ) -> None:
         self.loop = loop
         self.relay = relay
         self.record = record
@@ -30,9 +38,15 @@
         self.mangle = mangle
         self.sock = udp(host)
         loop.read(self.sock, self._read)
-        self.connection = QuicConnection(configuration=QuicConfiguration(
-            is_client=True, alpn_protocols=protocols or ALPN, server_name=server_name,
-            verify_mode=ssl.CERT_NONE, idle_timeout=patience))
+        self.connection = QuicConnection(
+            configuration=QuicConfiguration(
+                is_client=True,
+                alpn_protocols=protocols or ALPN,
+                server_name=server_name,
+                verify_mode=ssl.CERT_NONE,
+                idle_timeout=patience,
+            )
+        )
         self.dcid = self.connection.original_destination_connection_id
         self.up = False
         self.reset = False  # a stateless reset came
--- a/scaledeal/lab/quic/datagrams.py
+++ b/scaledeal/lab/quic/datagrams.py
@@ -29,6 +29,7 @@
             data, about, _, source = sock.recvmsg(65_536, 64)
         except OSError:  # nothing more, or a refusal of something sent before
             return found
-        seconds, nanoseconds = next((_TIME.unpack(value[:_TIME.size]) for _, kind, value in about
-                                     if kind == SO_TIMESTAMPNS), (0, 0))
+        seconds, nanoseconds = next(
+            (_TIME.unpack(value[: _TIME.size]) for _, kind, value in about if kind == SO_TIMESTAMPNS), (0, 0)
+        )
         found.append((data, source, seconds * 1_000_000_000 + nanoseconds))
--- a/scaledeal/lab/quic/tile_server.py
+++ b/scaledeal/lab/quic/tile_server.py
@@ -42,8 +42,9 @@
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "tiles.example")])
     now = datetime.datetime.now(datetime.UTC)
-    made = x509.CertificateBuilder(name, name, key.public_key(), x509.random_serial_number(), now,
-                                   now + datetime.timedelta(days=2)).sign(key, SHA256())
+    made = x509.CertificateBuilder(
+        name, name, key.public_key(), x509.random_serial_number(), now, now + datetime.timedelta(days=2)
+    ).sign(key, SHA256())
     return made, key
 
 
@@ -56,10 +57,18 @@
         self.sid = server_id(server.name, self.codec.config.server_id_length)
         self.reset_key = ring.secret("reset_key")
         certificate, key = _certificate()
-        super().__init__(configuration=QuicConfiguration(
-            is_client=False, alpn_protocols=ALPN, certificate=certificate, private_key=key,
-            connection_id_length=self.codec.config.length, idle_timeout=60.0,
-        ), original_destination_connection_id=odcid, retry_source_connection_id=retry_scid)
+        super().__init__(
+            configuration=QuicConfiguration(
+                is_client=False,
+                alpn_protocols=ALPN,
+                certificate=certificate,
+                private_key=key,
+                connection_id_length=self.codec.config.length,
+                idle_timeout=60.0,
+            ),
+            original_destination_connection_id=odcid,
+            retry_source_connection_id=retry_scid,
+        )
         first = self._new_id(0)
         first.was_sent = True
         self._host_cids = [first]
@@ -67,8 +76,9 @@
 
     def _new_id(self, number: int) -> QuicConnectionId:
         cid = self.codec.new(self.sid)
-        return QuicConnectionId(cid=cid, sequence_number=number,
-                                stateless_reset_token=tokens.reset_token(self.reset_key, cid))
+        return QuicConnectionId(
+            cid=cid, sequence_number=number, stateless_reset_token=tokens.reset_token(self.reset_key, cid)
+        )
 
     def _replenish_connection_ids(self) -> None:
         while len(self._host_cids) < min(8, self._remote_active_connection_id_limit):
--- a/scaledeal/lab/relay.py
+++ b/scaledeal/lab/relay.py
@@ -17,14 +17,35 @@
 SETTINGS: dict[str, Any] = {
     "Classes": [
         {"Name": "browse", "Aim": 500e6, "Deadline": 3e9, "Semantics": "repeatable", "KeyScope": "all", "Worth": 2.0},
-        {"Name": "overlay", "Aim": 300e6, "Deadline": 1.2e9, "Semantics": "repeatable", "KeyScope": "all",
-         "Worth": 3.0},
-        {"Name": "compare", "Aim": 300e6, "Deadline": 1.2e9, "Semantics": "repeatable", "KeyScope": "all",
-         "Worth": 3.0},
+        {
+            "Name": "overlay",
+            "Aim": 300e6,
+            "Deadline": 1.2e9,
+            "Semantics": "repeatable",
+            "KeyScope": "all",
+            "Worth": 3.0,
+        },
+        {
+            "Name": "compare",
+            "Aim": 300e6,
+            "Deadline": 1.2e9,
+            "Semantics": "repeatable",
+            "KeyScope": "all",
+            "Worth": 3.0,
+        },
     ],
-    "Caps": {"Probing": False, "Cancelling": True, "MaxAttempts": 6, "DialTimeout": 250e6, "RetryAfter": True,
-             "MaxRetryAfter": 2e9},
-    "Report": {"Fields": [], "Via": "none"}, "Discovery": "on_request", "FailureDomains": ["a"], "Siblings": 1,
+    "Caps": {
+        "Probing": False,
+        "Cancelling": True,
+        "MaxAttempts": 6,
+        "DialTimeout": 250e6,
+        "RetryAfter": True,
+        "MaxRetryAfter": 2e9,
+    },
+    "Report": {"Fields": [], "Via": "none"},
+    "Discovery": "on_request",
+    "FailureDomains": ["a"],
+    "Siblings": 1,
     "Rules": {"ColdFrom": 0.3, "WarmAfter": 1.0, "OverloadFactor": 3.0, "Fall": 1e9},
 }
 
@@ -32,16 +53,32 @@
 class RelayProcess:
     """Owns the process, its log and its end."""
 
-    def __init__(self, loop: Loop, folder: Path, discovery: str, operator_file: Path, name: str = "n0",
-                 descriptors: int = 0, settings: dict[str, Any] = SETTINGS) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        folder: Path,
+        discovery: str,
+        operator_file: Path,
+        name: str = "n0",
+        descriptors: int = 0,
+        settings: dict[str, Any] = SETTINGS,
+    ) -> None:
         self.loop = loop
         config = folder / f"{name}.json"
-        config.write_bytes(msgspec.json.encode({"name": name, "seed": "1", "settings": settings,
-                                                "limits": {"sockets": descriptors}}))
+        config.write_bytes(
+            msgspec.json.encode({"name": name, "seed": "1", "settings": settings, "limits": {"sockets": descriptors}})
+        )
         runtime = folder / name
         runtime.mkdir(exist_ok=True)
-        env = {**os.environ, "PROXY_CONFIG": str(config), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": discovery,
-               "PROXY_ADMIN": "127.0.0.1:0", "PROXY_NAME": name, "TMPDIR": str(runtime)}
+        env = {
+            **os.environ,
+            "PROXY_CONFIG": str(config),
+            "PROXY_LISTEN": "127.0.0.1:0",
+            "PROXY_DISCOVERY": discovery,
+            "PROXY_ADMIN": "127.0.0.1:0",
+            "PROXY_NAME": name,
+            "TMPDIR": str(runtime),
+        }
         self.log: list[str] = []
         self._part = b""
         mine, theirs = socket.socketpair()
@@ -49,7 +86,10 @@
         with theirs:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "scaledeal.cli.main", "run", "--file", str(operator_file)],
-                env=env, stderr=theirs.fileno(), stdout=theirs.fileno())
+                env=env,
+                stderr=theirs.fileno(),
+                stdout=theirs.fileno(),
+            )
         loop.read(mine, self._read)
 
     def _read(self) -> None:
@@ -66,6 +106,7 @@
 
     def until_told(self, words: str, times: int = 1) -> str:
         """Wait for a line of the log, and return it."""
+
         def there() -> bool:
             if self.process.poll() is not None and not self._sock_open():
                 raise AssertionError("the relay ended: " + "\n".join(self.log[-20:]))
--- a/scaledeal/lab/runs/play.py
+++ b/scaledeal/lab/runs/play.py
@@ -53,8 +53,9 @@
     @property
     def key(self) -> str:
         """Return what names this run and no other: the same key gives the same result."""
-        told = "\x00".join((self.scenario, str(self.seed), self.host, self.variant.digest, str(self.shuffle),
-                            str(self.stop)))
+        told = "\x00".join(
+            (self.scenario, str(self.seed), self.host, self.variant.digest, str(self.shuffle), str(self.stop))
+        )
         return blake2b(told.encode(), digest_size=12).hexdigest()
 
 
@@ -121,6 +122,16 @@
         pass  # the witness has it
     except RunawayError as runaway:
         error = str(runaway)
-    return Outcome(job.key, day.title, job.seed, job.host, job.variant.name, fleet.service.result(),
-                   fleet.service.series(), tuple(map(str, fleet.witness.violations)), error, fleet.kernel.done,
-                   round(time.monotonic() - began, 2))
+    return Outcome(
+        job.key,
+        day.title,
+        job.seed,
+        job.host,
+        job.variant.name,
+        fleet.service.result(),
+        fleet.service.series(),
+        tuple(map(str, fleet.witness.violations)),
+        error,
+        fleet.kernel.done,
+        round(time.monotonic() - began, 2),
+    )
--- a/scaledeal/lab/runs/store.py
+++ b/scaledeal/lab/runs/store.py
@@ -48,8 +48,20 @@
         """Keep one outcome; one that could not be played is played anew by the next sweep."""
         self.base.execute(
             "insert or replace into runs values (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
-            (outcome.key, time.time(), experiment, outcome.title, outcome.seed, outcome.host, outcome.variant,
-             outcome.score, outcome.error, len(outcome.violations), msgspec.json.encode(outcome)))
+            (
+                outcome.key,
+                time.time(),
+                experiment,
+                outcome.title,
+                outcome.seed,
+                outcome.host,
+                outcome.variant,
+                outcome.score,
+                outcome.error,
+                len(outcome.violations),
+                msgspec.json.encode(outcome),
+            ),
+        )
 
     def find(self, key: str) -> Outcome | None:
         """Return a run that was played to its end."""
@@ -64,8 +76,9 @@
 
     def whole(self, start: str) -> Outcome | None:
         """Return the run whose key begins so; None where there is none, or more than one."""
-        rows = self.base.execute("select outcome from runs where substr(key, 1, ?) = ? limit 2",
-                                 (len(start), start)).fetchall()
+        rows = self.base.execute(
+            "select outcome from runs where substr(key, 1, ?) = ? limit 2", (len(start), start)
+        ).fetchall()
         return msgspec.json.decode(rows[0][0], type=Outcome) if len(rows) == 1 and start else None
 
     def export(self, to: TextIO, experiment: str = "") -> int:
--- a/scaledeal/lab/runs/worker.py
+++ b/scaledeal/lab/runs/worker.py
@@ -43,8 +43,9 @@
     return Outcome(job.key, scenario_of(job).title, job.seed, job.host, job.variant.name, {}, {}, (), why)
 
 
-def in_parallel(jobs: Iterable[Job], workers: int, stopped: Callable[[], bool] = lambda: False,
-                patience: float = 3600.0) -> Iterator[Outcome]:
+def in_parallel(
+    jobs: Iterable[Job], workers: int, stopped: Callable[[], bool] = lambda: False, patience: float = 3600.0
+) -> Iterator[Outcome]:
     """Yield outcomes as they come, from so many workers at once; no new one is started once it is to stop."""
     waiting, running = list(jobs)[::-1], list[Work]()
     try:
--- a/scaledeal/lab/scenario/reading.py
+++ b/scaledeal/lab/scenario/reading.py
@@ -33,8 +33,15 @@
     at = text
     while found := _BASE.search(at):
         if found[1] not in ready():
-            raise FileError([Fault(text[: found.start()].count("\n") + 1, "base",
-                                   f"no ready scenario {found[1]!r}; there are {', '.join(ready())}")])
+            raise FileError(
+                [
+                    Fault(
+                        text[: found.start()].count("\n") + 1,
+                        "base",
+                        f"no ready scenario {found[1]!r}; there are {', '.join(ready())}",
+                    )
+                ]
+            )
         at = read_file(ready()[found[1]])
         under.insert(0, at)
         if len(under) > DEEPEST:
--- a/scaledeal/lab/scenario/rules.py
+++ b/scaledeal/lab/scenario/rules.py
@@ -9,10 +9,29 @@
 from scaledeal.lab.scenario.types import Class, Clients, Model, Network, Scenario, Servers, Trouble
 
 LONGEST = 2 * 86_400_000_000_000  # ns
-_PARTS = {"slow", "neighbour", "hang", "pauses", "errors", "deploy", "shrink", "silent_streams", "crash", "resets",
-          "relay_kill", "relay_restart", "upgrade", "reload"}
-_SIZED = {"slow_store": (1.0, "times slower"), "slow": (1.0, "times slower"), "report_late": (0.0, "seconds"),
-          "crowd": (0.0, "times the usual rate"), "shrink": (0.0, "")}
+_PARTS = {
+    "slow",
+    "neighbour",
+    "hang",
+    "pauses",
+    "errors",
+    "deploy",
+    "shrink",
+    "silent_streams",
+    "crash",
+    "resets",
+    "relay_kill",
+    "relay_restart",
+    "upgrade",
+    "reload",
+}
+_SIZED = {
+    "slow_store": (1.0, "times slower"),
+    "slow": (1.0, "times slower"),
+    "report_late": (0.0, "seconds"),
+    "crowd": (0.0, "times the usual rate"),
+    "shrink": (0.0, ""),
+}
 
 
 def _seconds(file: Scenario) -> Iterator[Breach]:
--- a/scaledeal/lab/scenario/types.py
+++ b/scaledeal/lab/scenario/types.py
@@ -198,9 +198,29 @@
     discovery: Amount = 0.02  # for a hundred list lines
 
 
-Kind = Literal["hang", "pauses", "errors", "deploy", "shrink", "stale_roster", "silent_streams", "crash", "zone_lost",
-               "zone_cut", "resets", "slow_store", "crowd", "relay_kill", "relay_restart", "upgrade", "reload",
-               "discovery_down", "slow", "neighbour", "report_late"]
+Kind = Literal[
+    "hang",
+    "pauses",
+    "errors",
+    "deploy",
+    "shrink",
+    "stale_roster",
+    "silent_streams",
+    "crash",
+    "zone_lost",
+    "zone_cut",
+    "resets",
+    "slow_store",
+    "crowd",
+    "relay_kill",
+    "relay_restart",
+    "upgrade",
+    "reload",
+    "discovery_down",
+    "slow",
+    "neighbour",
+    "report_late",
+]
 
 
 class Trouble(Block, frozen=True):
--- a/scaledeal/lab/truth/service.py
+++ b/scaledeal/lab/truth/service.py
@@ -18,8 +18,23 @@
 SECOND = 1_000_000_000
 WINDOW = 10  # seconds of the worst stretch
 LONGEST_MS = 3_600_000
-COUNTED = ("clients", "standing", "again", "attempts", "wasted", "far", "moves", "probes", "refused", "failed",
-           "broken", "sent_away", "gave_up", "no_relay", "lines")
+COUNTED = (
+    "clients",
+    "standing",
+    "again",
+    "attempts",
+    "wasted",
+    "far",
+    "moves",
+    "probes",
+    "refused",
+    "failed",
+    "broken",
+    "sent_away",
+    "gave_up",
+    "no_relay",
+    "lines",
+)
 
 
 class Service:
@@ -77,31 +92,47 @@
         worst_class = min(classes.values(), default=whole)
         worst_tenant = min(tenants.values(), default=whole)
         prices = self.prices()
-        service = (goal.whole * whole + goal.worst_window * worst + goal.worst_class * worst_class
-                   + goal.worst_tenant * worst_tenant)
-        return {"G": round(service - sum(prices.values()), 4), "service": round(service, 4), "whole": round(whole, 4),
-                "worst_10s": round(worst, 4), "worst_from_s": where, "worst_class": round(worst_class, 4),
-                "classes": {name: round(share, 4) for name, share in classes.items()},
-                "tenants": {name: round(share, 4) for name, share in tenants.items()},
-                "prices": {name: round(price, 4) for name, price in prices.items()}, "counts": dict(self.counts),
-                "set_up_ms": _percentiles(self.set_up), "first_try_ms": _percentiles(self.first_try)}
+        service = (
+            goal.whole * whole
+            + goal.worst_window * worst
+            + goal.worst_class * worst_class
+            + goal.worst_tenant * worst_tenant
+        )
+        return {
+            "G": round(service - sum(prices.values()), 4),
+            "service": round(service, 4),
+            "whole": round(whole, 4),
+            "worst_10s": round(worst, 4),
+            "worst_from_s": where,
+            "worst_class": round(worst_class, 4),
+            "classes": {name: round(share, 4) for name, share in classes.items()},
+            "tenants": {name: round(share, 4) for name, share in tenants.items()},
+            "prices": {name: round(price, 4) for name, price in prices.items()},
+            "counts": dict(self.counts),
+            "set_up_ms": _percentiles(self.set_up),
+            "first_try_ms": _percentiles(self.first_try),
+        }
 
     def prices(self) -> dict[str, float]:
         """Return what comes off, by cause."""
         told, firsts = self.day.prices, max(1, self.counts["clients"] + self.counts["standing"])
-        return {"moves": told.move * self.counts["moves"] / firsts,
-                "cross_zone": told.cross_zone * self.counts["far"] / firsts,
-                "probes": told.probe * self.counts["probes"] / firsts,
-                "waste": told.waste * self.waste / self.work if self.work else 0.0,
-                "discovery": told.discovery * self.counts["lines"] / (100 * firsts)}
+        return {
+            "moves": told.move * self.counts["moves"] / firsts,
+            "cross_zone": told.cross_zone * self.counts["far"] / firsts,
+            "probes": told.probe * self.counts["probes"] / firsts,
+            "waste": told.waste * self.waste / self.work if self.work else 0.0,
+            "discovery": told.discovery * self.counts["lines"] / (100 * firsts),
+        }
 
     def series(self) -> dict[str, list[float]]:
         """Return what happened by second."""
         worth = self._worth()
         asked, served = (self.asked_for * worth).sum(axis=0), (self.served * worth).sum(axis=0)
         shares = np.divide(served, asked, out=np.ones(self.seconds), where=asked > 0)
-        return {"share": [round(float(each), 4) for each in shares],
-                **{name: [int(each) for each in row] for name, row in sorted(self.by_second.items())}}
+        return {
+            "share": [round(float(each), 4) for each in shares],
+            **{name: [int(each) for each in row] for name, row in sorted(self.by_second.items())},
+        }
 
     def _worth(self) -> np.ndarray:
         """Return the worth of a second by cell and second of the day."""
--- a/scaledeal/lab/truth/witness.py
+++ b/scaledeal/lab/truth/witness.py
@@ -176,8 +176,13 @@
         """See a cold server fall over, with who sent what pushed it, and how many the settings allowed (N)."""
         informed = sum((relay, server) in self.starts for relay in senders)
         if 3 * informed >= 2 * len(senders):
-            self._broken("cold servers", server, now, f"{len(senders)} connections in {self.rules.fall / 1e9:g} s "
-                         f"where N is {allowed:.1f}, {informed} of them from relays that knew of its start")
+            self._broken(
+                "cold servers",
+                server,
+                now,
+                f"{len(senders)} connections in {self.rules.fall / 1e9:g} s "
+                f"where N is {allowed:.1f}, {informed} of them from relays that knew of its start",
+            )
 
     # Owners
 
@@ -206,5 +211,3 @@
         self.violations.append(violation)
         if self.stop:
             raise BrokenRuleError(violation)
-
-
--- a/scaledeal/lab/world/clients.py
+++ b/scaledeal/lab/world/clients.py
@@ -36,8 +36,9 @@
 class Client:
     """One client, over all its connections."""
 
-    def __init__(self, crowd: Crowd, number: int, cls: int, zone: int, group: str, wants: int,
-                 draw: np.random.Generator) -> None:
+    def __init__(
+        self, crowd: Crowd, number: int, cls: int, zone: int, group: str, wants: int, draw: np.random.Generator
+    ) -> None:
         self.crowd, self.number, self.cls, self.zone, self.group = crowd, number, cls, zone, group
         self.tenant = crowd.tenant_of(draw)
         self.draw = draw
@@ -194,8 +195,9 @@
 class Crowd:
     """All clients of a run."""
 
-    def __init__(self, kernel: Kernel, day: Scenario, streams: Streams, service: Service, witness: Witness,
-                 power: float) -> None:
+    def __init__(
+        self, kernel: Kernel, day: Scenario, streams: Streams, service: Service, witness: Witness, power: float
+    ) -> None:
         """``power`` is what the fleet can do, in reference cores."""
         self.kernel, self.day, self.streams = kernel, day, streams
         self.service, self.witness = service, witness
@@ -249,8 +251,15 @@
             cls = int(np.searchsorted(np.cumsum(self.shares), draw.random()))
         zone = int(np.searchsorted(np.cumsum(self.zones), draw.random()))
         group = f"g{int(np.searchsorted(self.groups, draw.random()))}" if len(self.groups) else ""
-        client = Client(self, self.numbered, min(cls, len(self.shares) - 1), min(zone, len(self.zones) - 1), group,
-                        self._wants(cls, draw), draw)
+        client = Client(
+            self,
+            self.numbered,
+            min(cls, len(self.shares) - 1),
+            min(zone, len(self.zones) - 1),
+            group,
+            self._wants(cls, draw),
+            draw,
+        )
         self.here[client.number] = client
         self.service.wants(client.cell, client.since, client.done_at)
         self.service.count("standing" if standing else "clients", self.kernel.now)
@@ -266,8 +275,15 @@
 
     def held(self, client: Client, seat: object) -> Held:
         """Return what a server holds of a client's connection."""
-        return Held(seat, client.id, client.cls, client.group, client.load, client.draw,  # type: ignore[arg-type]
-                    client.cell)
+        return Held(
+            seat,
+            client.id,
+            client.cls,
+            client.group,
+            client.load,
+            client.draw,  # type: ignore[arg-type]
+            client.cell,
+        )
 
     def draw_load(self, cls: int, draw: np.random.Generator) -> float:
         """Return a connection's load, in reference cores."""
@@ -325,5 +341,3 @@
 def _draw(draw: np.random.Generator, ends: tuple[float, float]) -> float:
     low, high = ends
     return float(low if low == high else draw.uniform(low, high))
-
-
--- a/scaledeal/lab/world/directory.py
+++ b/scaledeal/lab/world/directory.py
@@ -121,9 +121,11 @@
             self._answer(*waiting)
 
     def _answer(self, after: int | None, tell: Tell) -> None:
-        entries = tuple(entry for name, entry in self.entries.items()
-                        if (after is None and entry.status != "left")
-                        or (after is not None and self.versions[name] > after))
+        entries = tuple(
+            entry
+            for name, entry in self.entries.items()
+            if (after is None and entry.status != "left") or (after is not None and self.versions[name] > after)
+        )
         if self.pushed:
             answer = Answer(self.index, after is None, entries)
             self.kernel.after(0, lambda: tell(answer))
--- a/scaledeal/lab/world/fleet.py
+++ b/scaledeal/lab/world/fleet.py
@@ -101,6 +101,7 @@
     def play(self, host: RelayHost) -> None:
         """Have a host's relays meet this fleet from now on, until the day is over."""
         from scaledeal.lab.world.troubles import begin
+
         self.host = self.crowd.host = host
         begin(self)
 
@@ -132,11 +133,20 @@
     def entry(self, server: TileServer, status: str) -> Entry:
         """Return a server's line of the list."""
         cores = float(server.model.cores)
-        told = {"none": 1.0, "nominal": server.power, "rough": cores,
-                "live": cores / (1 + len(server.held) / cores)}[self.day.servers.weights]
+        told = {"none": 1.0, "nominal": server.power, "rough": cores, "live": cores / (1 + len(server.held) / cores)}[
+            self.day.servers.weights
+        ]
         since = EPOCH + server.started // MS if server.started else 0
-        return Entry(server.name, self.address(server.name), self.day.zones[server.zone], server.model.name,
-                     server.zone, status, told, float(since))
+        return Entry(
+            server.name,
+            self.address(server.name),
+            self.day.zones[server.zone],
+            server.model.name,
+            server.zone,
+            status,
+            told,
+            float(since),
+        )
 
     def address(self, name: str) -> str:
         """Return where a server listens."""
@@ -152,8 +162,20 @@
         number, self.numbered = self.numbered, self.numbered + 1
         name = f"s-{number}"
         where = number % len(self.day.zones) if zone is None else zone
-        server = TileServer(self.kernel, self.day, name, where, model, self.streams.of("server", name), self.service,
-                            self.witness, self.store, self.store_time, self.crowd, started)
+        server = TileServer(
+            self.kernel,
+            self.day,
+            name,
+            where,
+            model,
+            self.streams.of("server", name),
+            self.service,
+            self.witness,
+            self.store,
+            self.store_time,
+            self.crowd,
+            started,
+        )
         self.servers[name] = server
         self.on_start(server)
         return server
--- a/scaledeal/lab/world/server.py
+++ b/scaledeal/lab/world/server.py
@@ -85,9 +85,21 @@
 class TileServer:
     """One process on one machine."""
 
-    def __init__(self, kernel: Kernel, day: Scenario, name: str, zone: int, model: Model, draw: np.random.Generator,
-                 service: Service, witness: Witness, store: Station, store_time: Callable[[], int], means: Means,
-                 started: int = 0) -> None:
+    def __init__(
+        self,
+        kernel: Kernel,
+        day: Scenario,
+        name: str,
+        zone: int,
+        model: Model,
+        draw: np.random.Generator,
+        service: Service,
+        witness: Witness,
+        store: Station,
+        store_time: Callable[[], int],
+        means: Means,
+        started: int = 0,
+    ) -> None:
         self.kernel, self.day, self.model, self.draw = kernel, day, model, draw
         self.service, self.witness = service, witness
         self.store, self.store_time = store, store_time
@@ -182,8 +194,12 @@
         place = bisect_right(self._past, (moment, math.inf, 0)) - 1
         _, asked, count = self._past[max(0, place)]
         noise = 1 + self.day.servers.report_noise * float(self.draw.standard_normal())
-        values = {"eps": float(self.errors_seen), "inflight": float(count), "x0": max(0.0, asked * noise),
-                  "queue": float(len(self.tills.waiting))}
+        values = {
+            "eps": float(self.errors_seen),
+            "inflight": float(count),
+            "x0": max(0.0, asked * noise),
+            "queue": float(len(self.tills.waiting)),
+        }
         return tuple(values[name] for name in self.day.rules.report_fields)
 
     # What befalls it
@@ -362,7 +378,7 @@
         self._past.append((now, self.asked(), len(self.held)))
         if len(self._past) > 256:
             keep = bisect_right(self._past, (now - self.age - 2 * self.period, math.inf, 0)) - 1
-            self._past = self._past[max(0, keep):]
+            self._past = self._past[max(0, keep) :]
 
     def _press(self, held: Held) -> None:
         """Note what a cold server is sent, and have it fall over where that is too much for one window."""
--- a/scaledeal/lab/world/troubles.py
+++ b/scaledeal/lab/world/troubles.py
@@ -68,10 +68,11 @@
     """Replace a part in steps of ``size`` of the fleet; each leaves, and a cold one of its model takes its place."""
     going = _some(fleet, trouble, draw)
     step = max(1, int(round(trouble.size * len(fleet.live()))))
-    steps = [going[at:at + step] for at in range(0, len(going), step)]
+    steps = [going[at : at + step] for at in range(0, len(going), step)]
     for number, servers in enumerate(steps):
-        fleet.kernel.after(lasts * number // max(1, len(steps)),
-                           lambda servers=servers: _replace(fleet, servers, trouble, draw))  # type: ignore[misc]
+        fleet.kernel.after(
+            lasts * number // max(1, len(steps)), lambda servers=servers: _replace(fleet, servers, trouble, draw)
+        )  # type: ignore[misc]
 
 
 def _replace(fleet: Fleet, servers: list[TileServer], trouble: Trouble, draw: np.random.Generator) -> None:
@@ -213,9 +214,25 @@
 
 
 PLANS: dict[str, Plan] = {
-    "hang": _hang, "pauses": _pauses, "errors": _errors, "deploy": _deploy, "shrink": _shrink,
-    "stale_roster": _stale_roster, "silent_streams": _silent_streams, "crash": _crash, "zone_lost": _zone_lost,
-    "zone_cut": _zone_cut, "resets": _resets, "slow_store": _slow_store, "crowd": _crowd, "relay_kill": _relay_kill,
-    "relay_restart": _relay_restart, "upgrade": _upgrade, "reload": _reload, "discovery_down": _discovery_down,
-    "slow": _slow, "neighbour": _neighbour, "report_late": _report_late,
+    "hang": _hang,
+    "pauses": _pauses,
+    "errors": _errors,
+    "deploy": _deploy,
+    "shrink": _shrink,
+    "stale_roster": _stale_roster,
+    "silent_streams": _silent_streams,
+    "crash": _crash,
+    "zone_lost": _zone_lost,
+    "zone_cut": _zone_cut,
+    "resets": _resets,
+    "slow_store": _slow_store,
+    "crowd": _crowd,
+    "relay_kill": _relay_kill,
+    "relay_restart": _relay_restart,
+    "upgrade": _upgrade,
+    "reload": _reload,
+    "discovery_down": _discovery_down,
+    "slow": _slow,
+    "neighbour": _neighbour,
+    "report_late": _report_late,
 }
--- a/scaledeal/net/carry.py
+++ b/scaledeal/net/carry.py
@@ -49,8 +49,7 @@
                 handed += 1
                 self.out[transaction.handle] = transaction
                 load = self.driver.load_lines.loads.get(transaction.handle, 0.0)
-                successor.hand(Handed(transaction.handle, transaction.server, load, carried.state),
-                               carried.descriptors)
+                successor.hand(Handed(transaction.handle, transaction.server, load, carried.state), carried.descriptors)
 
     def taken(self, handle: str) -> None:
         """Hear that the new process has one."""
--- a/scaledeal/net/config.py
+++ b/scaledeal/net/config.py
@@ -99,8 +99,12 @@
     except ValueError as error:
         raise ConfigError(f"settings: {error}") from None
     if settings.siblings != int(file.settings.siblings):
-        log.warning("settings: Siblings is %g where Me is %d: taken as %d", file.settings.siblings, settings.me,
-                    settings.siblings)
+        log.warning(
+            "settings: Siblings is %g where Me is %d: taken as %d",
+            file.settings.siblings,
+            settings.me,
+            settings.siblings,
+        )
     return file, settings
 
 
--- a/scaledeal/net/discovery_watch.py
+++ b/scaledeal/net/discovery_watch.py
@@ -43,8 +43,16 @@
     be reached is told as LOST. It speaks with one discovery. Another is another watch: its versions are its own.
     """
 
-    def __init__(self, reactor: Reactor, host: str, port: int, catalog: Catalog, tell: Tell, times: WatchTimes,
-                 unix: Callable[[], float]) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        host: str,
+        port: int,
+        catalog: Catalog,
+        tell: Tell,
+        times: WatchTimes,
+        unix: Callable[[], float],
+    ) -> None:
         self.reactor = reactor
         self.base = f"http://{host}:{port}/catalog/members"
         self.catalog = catalog
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -36,8 +36,15 @@
 class Driver:
     """Owns the balancer, the clock, its timers and the table of transactions."""
 
-    def __init__(self, reactor: Reactor, settings: api.Settings, seed: int, figures: Figures,
-                 clock: Callable[[], int] = time.monotonic_ns, drain_grace: int = GRACE) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        settings: api.Settings,
+        seed: int,
+        figures: Figures,
+        clock: Callable[[], int] = time.monotonic_ns,
+        drain_grace: int = GRACE,
+    ) -> None:
         self.reactor = reactor
         self.clock = clock
         self.balancer = Balancer(settings, seed)
@@ -59,9 +66,15 @@
         self._busy = False
         self._parked: list[Transaction] = []  # standing at servers that no list has named yet
         self._carry_out: dict[type, Callable[[Any], None]] = {
-            api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail, api.Cancel: self._cancel,
-            api.Move: self._move, api.Probe: self._probe, api.Watch: lambda _: self.watch(),
-            api.SetTimer: self._set_timer, api.Log: lambda a: log.info("%s", a.text),
+            api.Send: self._send,
+            api.Refuse: self._refuse,
+            api.Fail: self._fail,
+            api.Cancel: self._cancel,
+            api.Move: self._move,
+            api.Probe: self._probe,
+            api.Watch: lambda _: self.watch(),
+            api.SetTimer: self._set_timer,
+            api.Log: lambda a: log.info("%s", a.text),
         }
 
     # The clock
@@ -125,8 +138,18 @@
         elif ask.standing_at:
             self._resume(transaction)
         else:
-            self.post(api.Request(transaction.handle, ask.request_class, ask.deadline, ask.key, ask.group,
-                                  ask.tenant, returning=ask.returning, load_hint=ask.load_hint))
+            self.post(
+                api.Request(
+                    transaction.handle,
+                    ask.request_class,
+                    ask.deadline,
+                    ask.key,
+                    ask.group,
+                    ask.tenant,
+                    returning=ask.returning,
+                    load_hint=ask.load_hint,
+                )
+            )
         return transaction
 
     def resume(self, ask: Ask, agent: Agent, server: str, load: float) -> Transaction:
@@ -137,8 +160,11 @@
         if self.trace is not None:
             self.trace.takes(self.now(), transaction.handle, msgspec.structs.replace(ask, standing_at=server))
         transaction.resumed(server)
-        self.post(api.OpenConnection(transaction.handle, ask.request_class, server, ask.key, ask.group,
-                                     ask.tenant, inherited=True))
+        self.post(
+            api.OpenConnection(
+                transaction.handle, ask.request_class, server, ask.key, ask.group, ask.tenant, inherited=True
+            )
+        )
         if load > 0:
             # A connection's first LOAD is its load: that one has been.
             self.load_lines.loads[transaction.handle] = load
@@ -174,8 +200,7 @@
 
     def overdue(self, transaction: Transaction) -> None:
         """Note that the decision module left a request unanswered."""
-        log.warning("request of class %d answered at its deadline: the module held it",
-                    transaction.ask.request_class)
+        log.warning("request of class %d answered at its deadline: the module held it", transaction.ask.request_class)
 
     def late(self, transaction: Transaction, took: int, waits: bool) -> None:
         """Note a message that its application server answers later than its class wants."""
--- a/scaledeal/net/fault_log.py
+++ b/scaledeal/net/fault_log.py
@@ -26,7 +26,7 @@
         fresh = {server: why for server, why in faults.items() if server not in self.shown}
         self.count += len(faults)
         self.shown.update(dict.fromkeys(faults, self.sound))
-        for server in list(self.shown)[:len(self.shown) - MOST]:
+        for server in list(self.shown)[: len(self.shown) - MOST]:
             del self.shown[server]
         if fresh:
             named = ", ".join(f"{server} ({why})" for server, why in list(fresh.items())[:NAMED])
--- a/scaledeal/net/health_probe.py
+++ b/scaledeal/net/health_probe.py
@@ -18,8 +18,9 @@
 class HealthProbe:
     """Probes one application server; owns the connection and its one timer."""
 
-    def __init__(self, context: AttemptContext, server: str, idle: float, tell: Report,
-                 over: Callable[[str], None]) -> None:
+    def __init__(
+        self, context: AttemptContext, server: str, idle: float, tell: Report, over: Callable[[str], None]
+    ) -> None:
         self.context = context
         self.server = server
         self.idle = idle
@@ -133,8 +134,9 @@
 class HealthProbes:
     """The health probes of all application servers."""
 
-    def __init__(self, context: AttemptContext, idle: int, tell: Report,
-                 room: Callable[[], int] = lambda: 1 << 20) -> None:
+    def __init__(
+        self, context: AttemptContext, idle: int, tell: Report, room: Callable[[], int] = lambda: 1 << 20
+    ) -> None:
         """``room`` tells how many connections may be held for probes now."""
         self.context = context
         self.idle = idle / SECOND
--- a/scaledeal/net/inherited.py
+++ b/scaledeal/net/inherited.py
@@ -27,9 +27,18 @@
 def standing(driver: Driver) -> dict[str, Standing]:
     """Return what stands here, for a new process."""
     loads = driver.load_lines.loads
-    return {each.handle: Standing(each.handle, each.ask.request_class, each.server, each.ask.key,
-                                  each.ask.group, each.ask.tenant, loads.get(each.handle, 0.0))
-            for each in driver.standing()}
+    return {
+        each.handle: Standing(
+            each.handle,
+            each.ask.request_class,
+            each.server,
+            each.ask.key,
+            each.ask.group,
+            each.ask.tenant,
+            loads.get(each.handle, 0.0),
+        )
+        for each in driver.standing()
+    }
 
 
 class Inherited:
@@ -45,8 +54,11 @@
             return  # guards against a version with other settings
         name = f"old-{told.handle}"
         if told.handle not in self.held:
-            self.driver.post(api.OpenConnection(name, told.request_class, told.server, told.key, told.group,
-                                                told.tenant, inherited=True))
+            self.driver.post(
+                api.OpenConnection(
+                    name, told.request_class, told.server, told.key, told.group, told.tenant, inherited=True
+                )
+            )
         self.held[told.handle] = told
         if told.load > 0:
             self.driver.post(api.Note(name, 0, told.server, api.NoteKind.LOAD, told.load))
--- a/scaledeal/net/lines.py
+++ b/scaledeal/net/lines.py
@@ -123,7 +123,7 @@
         """Stop reading; return the descriptor, and what has come of a line that is not whole."""
         assert self.wire is not None
         self.wire.pauseProducing()
-        return self.wire.getHandle().fileno(), bytes(memoryview(self._part or b"")[:self._filled])
+        return self.wire.getHandle().fileno(), bytes(memoryview(self._part or b"")[: self._filled])
 
     def go_on(self) -> None:
         """Read on after ``hold``."""
@@ -170,7 +170,7 @@
             self._discard(len(data))
             return
         if self._part is not None:
-            data = bytes(memoryview(self._part)[:self._filled]) + data
+            data = bytes(memoryview(self._part)[: self._filled]) + data
             self._give_back()
         *lines, rest = data.split(self.delimiter)
         for line in lines:
@@ -186,7 +186,7 @@
             self.bad_line()
             return
         self._part, self._filled = self.pool.take(), len(rest)
-        self._part[:len(rest)] = rest
+        self._part[: len(rest)] = rest
         self.part_came(rest)
 
     def readConnectionLost(self) -> None:  # noqa: N802, D102
--- a/scaledeal/net/load_lines.py
+++ b/scaledeal/net/load_lines.py
@@ -69,8 +69,7 @@
         due = abs(now - known.last_at - PERIOD) <= JITTER
         if LONGEST < amount <= HANGS:
             # Guards against a server that hangs being told as loads: its times are as large as loads are.
-            hangs = any(abs(now - at - PERIOD) <= CLOSE and abs(amount - value) <= GROWTH
-                        for at, value in known.recent)
+            hangs = any(abs(now - at - PERIOD) <= CLOSE and abs(amount - value) <= GROWTH for at, value in known.recent)
             known.recent.append((now, amount))
             if hangs:
                 return api.NoteKind.DELAY, amount
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -62,12 +62,19 @@
         self.system = system or System()
         document = config.document
         self.figures = Figures(tuple(entry.name for entry in document.classes))
-        self.driver = Driver(reactor, config.settings, config.seed, self.figures, self.system.monotonic,
-                             int(config.document.rules.drain_grace))
+        self.driver = Driver(
+            reactor,
+            config.settings,
+            config.seed,
+            self.figures,
+            self.system.monotonic,
+            int(config.document.rules.drain_grace),
+        )
         self._trace()
         pool = BufferPool()
-        context = AttemptContext(reactor, pool, self.driver.now, report_reader(document.report.fields),
-                      int(document.caps.dial_timeout))
+        context = AttemptContext(
+            reactor, pool, self.driver.now, report_reader(document.report.fields), int(document.caps.dial_timeout)
+        )
         self.unix_clock = UnixClock(self.system.monotonic, self.system.unix())
         self.clocks = ClockMonitor(reactor, self.system.monotonic, self.system.unix)
         self.catalog = Catalog(document.failure_domains, Calendar(self.unix_clock.offset))
@@ -76,23 +83,35 @@
         classes = {entry.name: number for number, entry in enumerate(document.classes)}
         tenants = {entry.name or str(number): number for number, entry in enumerate(document.accounts)}
         admission = Admission(reactor, most_descriptors(config.sockets), self.driver.now)
-        self.driver.prober = probes = HealthProbes(context, int(document.caps.idle_close), self.driver.post,
-                                                   admission.for_probes)
+        self.driver.prober = probes = HealthProbes(
+            context, int(document.caps.idle_close), self.driver.post, admission.for_probes
+        )
         admission.probing, admission.end_probes = probes.held, probes.give_back
-        self.door = ClientFactory(Reception(context, classes, tenants, admission, self.driver.take,
-                                   lambda: self.service.stage not in (Stage.STARTING, Stage.LAME_DUCK)))
+        self.door = ClientFactory(
+            Reception(
+                context,
+                classes,
+                tenants,
+                admission,
+                self.driver.take,
+                lambda: self.service.stage not in (Stage.STARTING, Stage.LAME_DUCK),
+            )
+        )
         self.port: Port | None = None
         self.service = Service(self.driver)
-        self.operators = Operators(reactor, pool, {
-            b"PING": lambda: self._told(self.service.stage is Stage.SERVING),
-            b"INFO": lambda: "\n".join(["ok", *self._figures(), "eof"]),
-            b"LAMEDUCK": lambda: self._told(self.service.lame_duck()),
-            b"REJOIN": lambda: self._told(self.service.rejoin()),
-        })
+        self.operators = Operators(
+            reactor,
+            pool,
+            {
+                b"PING": lambda: self._told(self.service.stage is Stage.SERVING),
+                b"INFO": lambda: "\n".join(["ok", *self._figures(), "eof"]),
+                b"LAMEDUCK": lambda: self._told(self.service.lame_duck()),
+                b"REJOIN": lambda: self._told(self.service.rejoin()),
+            },
+        )
         self.admin: Port | None = None
         place = Place(config.folder, config.listen) if config.folder else None
-        self.succession = Succession(reactor, place, self.driver, self.door.reception, self._open,
-                                     self._take_clients)
+        self.succession = Succession(reactor, place, self.driver, self.door.reception, self._open, self._take_clients)
         self.sides: list[Side] = []  # doors for other protocols than lines
         self.adopted = False  # the listening socket was handed over, and another process still serves
         self.opened = False  # the list of the start has been told
@@ -111,8 +130,7 @@
             self.driver.trace = open_trace(self.config.trace, self.config.name, self.system.unix() - now)
         except OSError as error:
             raise told.ConfigError(f"PROXY_TRACE: {self.config.trace}: {error.strerror}") from None
-        self.driver.trace.begins(now, tuple(entry.name for entry in self.config.document.classes),
-                                 self.config.settings)
+        self.driver.trace.begins(now, tuple(entry.name for entry in self.config.document.classes), self.config.settings)
 
     def start(self) -> None:
         """Take over from the process that serves, or listen; ``failure`` tells why it could not."""
@@ -162,7 +180,8 @@
         for side in self.sides:
             side.listed(event)
         fresh = event.kind is api.MembershipKind.FULL or (
-            not self.adopted and event.kind is not api.MembershipKind.INITIAL)
+            not self.adopted and event.kind is not api.MembershipKind.INITIAL
+        )
         if fresh:
             self._serve()
 
@@ -185,8 +204,13 @@
 
     def _log_listens(self) -> None:
         if self.port is not None:
-            log.info("relay %s listens on %s:%d, %d application servers known", self.config.name,
-                     self.config.listen.host, self.port.getHost().port, len(self.driver.addresses))
+            log.info(
+                "relay %s listens on %s:%d, %d application servers known",
+                self.config.name,
+                self.config.listen.host,
+                self.port.getHost().port,
+                len(self.driver.addresses),
+            )
 
     def _listen(self, clients: bool, at: told.Address, factory: ServerFactory, what: str) -> Port:
         port = self.system.port(clients, at.port, factory, BACKLOG, at.host, self.reactor)
@@ -217,8 +241,9 @@
 
     def _watch(self) -> DiscoveryWatch:
         where = self.config.discovery
-        return DiscoveryWatch(self.reactor, where.host, where.port, self.catalog, self._listed, self._times(),
-                              self.unix_clock.seconds)
+        return DiscoveryWatch(
+            self.reactor, where.host, where.port, self.catalog, self._listed, self._times(), self.unix_clock.seconds
+        )
 
     def _times(self) -> WatchTimes:
         settings, rules = self.config.settings, self.config.document.rules
@@ -246,8 +271,7 @@
             return
         except told.ConfigError as error:
             # Guards against a half-written file that takes a running relay along.
-            log.warning("configuration not taken, the old one stays in force: %s",
-                        str(error).replace("\n", " "))
+            log.warning("configuration not taken, the old one stays in force: %s", str(error).replace("\n", " "))
             return
         if self.config.discovery == before.discovery:
             log.info("configuration read again: discovery stays as it is")
@@ -325,6 +349,9 @@
             self.discovery.close()
             self.clocks.stop()
             self.driver.process_ends()
-            log.info("stopped: %d requests and connections were left; invariants: %s", len(self.driver.transactions),
-                     self.driver.invariants.summary())
+            log.info(
+                "stopped: %d requests and connections were left; invariants: %s",
+                len(self.driver.transactions),
+                self.driver.invariants.summary(),
+            )
             self.reactor.stop()
--- a/scaledeal/net/roster.py
+++ b/scaledeal/net/roster.py
@@ -24,8 +24,10 @@
 LEAST_WEIGHT, MOST_WEIGHT = 1e-6, 1e9  # past these a ranking by weight divides by nothing, or ranks nobody else
 REMEMBERED = 4096  # servers whose starts are kept, listed or not
 
-START, WEIGHT, TWICE, ADDRESS = (f"discovery list: {what}" for what in (
-    "a start that can't be", "a weight that can't be", "a server named twice", "an address that can't be"))
+START, WEIGHT, TWICE, ADDRESS = (
+    f"discovery list: {what}"
+    for what in ("a start that can't be", "a weight that can't be", "a server named twice", "an address that can't be")
+)
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -116,7 +118,7 @@
         named = self._once_each(roster, wrong[TWICE])
         entries = tuple(self._entry(each, unix * 1000, wrong) for each in named.values())
         self.read_ms = unix * 1000
-        for server in list(self.taken)[:len(self.taken) - max(REMEMBERED, len(named))]:
+        for server in list(self.taken)[: len(self.taken) - max(REMEMBERED, len(named))]:
             del self.taken[server]
         for what, faults in self.faults.items():
             faults.bad(wrong[what])
@@ -188,5 +190,6 @@
     """Return one server's last entry, with the latest start, and no less on its way out than that process is."""
     last = entries[-1]
     same = [each.status for each in entries if each.since_ms >= last.since_ms]
-    return msgspec.structs.replace(last, status=max(same, key=_ORDER.index),
-                                   since_ms=max(each.since_ms for each in entries))
+    return msgspec.structs.replace(
+        last, status=max(same, key=_ORDER.index), since_ms=max(each.since_ms for each in entries)
+    )
--- a/scaledeal/net/succession.py
+++ b/scaledeal/net/succession.py
@@ -19,8 +19,15 @@
 class Succession:
     """Owns the claim on an old process's socket, the offer to a new one, and what passes between them."""
 
-    def __init__(self, reactor: Reactor, place: Place | None, driver: Driver, reception: Reception,
-                 come: Callable[[int | None], None], alone: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        place: Place | None,
+        driver: Driver,
+        reception: Reception,
+        come: Callable[[int | None], None],
+        alone: Callable[[], None],
+    ) -> None:
         self.driver = driver
         self.reception = reception
         self.admission = reception.admission
@@ -84,8 +91,7 @@
             return
         self.replaced = serving
         if serving:
-            log.info("a new version serves: %d requests and connections stay here",
-                     len(self.driver.transactions))
+            log.info("a new version serves: %d requests and connections stay here", len(self.driver.transactions))
             self.port.stopReading()
         else:
             log.warning("the new version is gone: clients are taken here again")
--- a/scaledeal/net/trace.py
+++ b/scaledeal/net/trace.py
@@ -78,13 +78,29 @@
 
     def begins(self, now: int, names: tuple[str, ...], settings: api.Settings) -> None:
         """Note the start, and what the account needs of the settings."""
-        self.put(now, "start", names=names, worths=tuple(c.worth for c in settings.classes), zone=settings.zone,
-                 aims=tuple(c.message_aim / MS for c in settings.classes), siblings=settings.siblings)
+        self.put(
+            now,
+            "start",
+            names=names,
+            worths=tuple(c.worth for c in settings.classes),
+            zone=settings.zone,
+            aims=tuple(c.message_aim / MS for c in settings.classes),
+            siblings=settings.siblings,
+        )
 
     def takes(self, now: int, request: str, ask: Ask) -> None:
         """Note a request, or a connection that stood before the start."""
-        self.put(now, "ask", request=request, id=ask.name, key=ask.key, group=ask.group, cls=ask.request_class,
-                 again=ask.returning, server=ask.standing_at)
+        self.put(
+            now,
+            "ask",
+            request=request,
+            id=ask.name,
+            key=ask.key,
+            group=ask.group,
+            cls=ask.request_class,
+            again=ask.returning,
+            server=ask.standing_at,
+        )
 
     def over(self, now: int, request: str, client: str, server: str, why: str) -> None:
         """Note why a request, or a connection that stood, is over."""
@@ -98,18 +114,32 @@
         """Note an event, then what the decision module wants done."""
         match event:
             case api.Established():
-                self.put(now, "up", request=event.request, server=event.server, ms=event.elapsed / MS,
-                         number=event.attempt)
+                self.put(
+                    now, "up", request=event.request, server=event.server, ms=event.elapsed / MS, number=event.attempt
+                )
             case api.Outcome():
-                self.put(now, "out", request=event.request, server=event.server, result=event.result.value,
-                         number=event.attempt, ms=event.elapsed / MS, stood=event.last)
+                self.put(
+                    now,
+                    "out",
+                    request=event.request,
+                    server=event.server,
+                    result=event.result.value,
+                    number=event.attempt,
+                    ms=event.elapsed / MS,
+                    stood=event.last,
+                )
             case api.Note(kind=api.NoteKind.DELAY):
                 self.put(now, "slow", server=event.server, ms=event.amount)
             case api.ClientGone():
                 self.put(now, "gone", request=event.request)
             case api.ProbeResult():
-                self.put(now, "report", result=event.result.value, ms=event.elapsed / MS,
-                         **self._server(now, balancer, event.server))
+                self.put(
+                    now,
+                    "report",
+                    result=event.result.value,
+                    ms=event.elapsed / MS,
+                    **self._server(now, balancer, event.server),
+                )
             case api.Membership():
                 live = sum(entry.state is api.ServerState.LIVE for entry in event.servers)
                 self.put(now, "list", why=event.kind.value, number=len(event.servers), live=live)
@@ -122,11 +152,24 @@
     def _action(self, now: int, action: api.Action, balancer: Balancer) -> None:
         match action:
             case api.Send():
-                self.put(now, "send", request=action.request, ms=action.timeout / MS, rung=balancer.ladder.rung,
-                         **self._server(now, balancer, action.server))
+                self.put(
+                    now,
+                    "send",
+                    request=action.request,
+                    ms=action.timeout / MS,
+                    rung=balancer.ladder.rung,
+                    **self._server(now, balancer, action.server),
+                )
             case api.Refuse():
-                self.put(now, "refuse", request=action.request, why=action.why, ms=action.retry_after / MS,
-                         rung=balancer.ladder.rung, index=balancer.ladder.last_index)
+                self.put(
+                    now,
+                    "refuse",
+                    request=action.request,
+                    why=action.why,
+                    ms=action.retry_after / MS,
+                    rung=balancer.ladder.rung,
+                    index=balancer.ladder.last_index,
+                )
             case api.Fail():
                 self.put(now, "fail", request=action.request, why=action.why)
             case api.Move():
@@ -144,8 +187,13 @@
             return {"server": name}
         asked = balancer.utilisation(server)
         age = (now - server.reported_at) / MS if server.reported >= 0 else -1.0
-        return {"server": name, "asked": -1.0 if asked is None else round(asked, 3), "told_ms": round(age, 1),
-                "cold": balancer.cold(server), "far": server.zone != balancer.settings.zone}
+        return {
+            "server": name,
+            "asked": -1.0 if asked is None else round(asked, 3),
+            "told_ms": round(age, 1),
+            "cold": balancer.cold(server),
+            "far": server.zone != balancer.settings.zone,
+        }
 
 
 def open_trace(where: str, relay: str, ahead: int) -> Trace:
@@ -160,4 +208,4 @@
 def _write_whole(descriptor: int, data: bytes) -> None:
     """Write all of it: the system may take less at once."""
     while data:
-        data = data[os.write(descriptor, data):]
+        data = data[os.write(descriptor, data) :]
--- a/scaledeal/net/transaction.py
+++ b/scaledeal/net/transaction.py
@@ -185,8 +185,11 @@
         self._stop_timer()
         ask = self.ask
         if ask.standing_at:
-            self.host.post(api.OpenConnection(self.handle, ask.request_class, self.server, ask.key, ask.group,
-                                              ask.tenant, ask.load_hint))
+            self.host.post(
+                api.OpenConnection(
+                    self.handle, ask.request_class, self.server, ask.key, ask.group, ask.tenant, ask.load_hint
+                )
+            )
         else:
             elapsed = self.host.now() - self.began
             self.host.post(api.Established(self.handle, self.attempts - 1, self.server, elapsed))
--- a/scaledeal/net/wording.py
+++ b/scaledeal/net/wording.py
@@ -9,10 +9,18 @@
 import msgspec
 
 PING, PONG, STATS, UP, BUSY, ERR, BYE, MOVE, LOAD = (
-    b"PING", b"PONG", b"STATS", b"UP", b"BUSY", b"ERR", b"BYE", b"MOVE", b"LOAD")
+    b"PING",
+    b"PONG",
+    b"STATS",
+    b"UP",
+    b"BUSY",
+    b"ERR",
+    b"BYE",
+    b"MOVE",
+    b"LOAD",
+)
 # Load reports name their values as the simulator does; the settings use the wire's words.
-_REPORTED = {"eps": "fail_rate", "inflight": "rif", "util": "busy", "queue": "q", "latency_ms": "lat_ms",
-             "qps": "rate"}
+_REPORTED = {"eps": "fail_rate", "inflight": "rif", "util": "busy", "queue": "q", "latency_ms": "lat_ms", "qps": "rate"}
 MS = 1_000_000
 LONGEST_WAIT = 86_400_000  # ms; no client waits longer than a day
 _ID = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,127}")
@@ -77,7 +85,7 @@
 
 def may_be_open(part: bytes) -> bool:
     """Tell whether this may become a client's first line."""
-    return part[:5] == b"OPEN "[:len(part)]
+    return part[:5] == b"OPEN "[: len(part)]
 
 
 def number(text: str) -> float:
@@ -106,6 +114,7 @@
 
     A value that is no number, or that contradicts itself, is NaN; a report that lacks one is none.
     """
+
     def read(line: bytes) -> tuple[float, ...]:
         told: dict[str, float] = {}
         for pair in line.partition(b" ")[2].decode("ascii", "replace").split(","):
--- a/scaledeal/policy.py
+++ b/scaledeal/policy.py
@@ -236,16 +236,24 @@
         self.flights, self.held = dict[str, Flight](), dict[str, Flight]()
         self.out: list[api.Action] = []
         self.handlers: dict[type[api.Event], Callable[[Any], None]] = {
-            api.Request: self._request, api.Established: self._established, api.Outcome: self._outcome,
-            api.Note: self._note, api.ProbeResult: self._probed, api.Timer: self._tick,
-            api.Membership: self._membership, api.OpenConnection: self._adopt,
-            api.ClientGone: self._client_gone}
+            api.Request: self._request,
+            api.Established: self._established,
+            api.Outcome: self._outcome,
+            api.Note: self._note,
+            api.ProbeResult: self._probed,
+            api.Timer: self._tick,
+            api.Membership: self._membership,
+            api.OpenConnection: self._adopt,
+            api.ClientGone: self._client_gone,
+        }
         self.started = -1
         self.adopted = False  # whether connections were open here already at the start
         self.now = self.pending = 0  # the time, and the set-ups under way
         shares = ((False, 1.0), (True, settings.over_share_worth))
-        self.ladder = Ladder({(i, over): cls.worth * share for i, cls in enumerate(settings.classes)
-                              for over, share in shares}, settings.report_source is not api.Source.NONE)
+        self.ladder = Ladder(
+            {(i, over): cls.worth * share for i, cls in enumerate(settings.classes) for over, share in shares},
+            settings.report_source is not api.Source.NONE,
+        )
         self.shortest_aim = min((c.message_aim for c in settings.classes if c.message_aim), default=math.inf)
         self.load_sum, self.load_count = ([each] * len(settings.classes) for each in (0.0, 0))  # first told
         self.tenant_open = [0] * max(1, len(settings.tenants))
@@ -463,8 +471,7 @@
     def _in_rotation(self, live: list[Server]) -> list[Server]:
         # Guards against a newcomer pushed over by all; a restarted gateway forgot what it sent just before.
         knows, is_open = self.now - self.started >= self.cold_start.window, self.cold_start.open
-        live = [s for s in live
-                if s.warmth == 1 or (knows and is_open(self.now, s.slots, s.weight * s.warmth))]
+        live = [s for s in live if s.warmth == 1 or (knows and is_open(self.now, s.slots, s.weight * s.warmth))]
         # Guards against each gateway learning by a set-up which server answers nothing.
         live = [s for s in live if not s.probe_out or self.now - s.asked_at < PATIENCE] or live
         return [s for s in live if not self._suspect(s)] or live
@@ -522,8 +529,17 @@
         group = event.group if self.settings.groups else ""
         tenant = event.tenant if event.tenant < len(self.tenant_open) else 0
         cell = (event.request_class, self._over_share(tenant))
-        flight = Flight(event.request, event.request_class, group or event.key or event.request, cell,
-                        tenant, deadline, group, load=event.load_hint, since=self.now)
+        flight = Flight(
+            event.request,
+            event.request_class,
+            group or event.key or event.request,
+            cell,
+            tenant,
+            deadline,
+            group,
+            load=event.load_hint,
+            since=self.now,
+        )
         self.flights[flight.id] = flight
         return flight
 
@@ -566,7 +582,8 @@
             if attempt.result in _NEVER_RAN:
                 continue
             elsewhere = (cls.scope is api.Scope.ZONE and attempt.server.zone != server.zone) or (
-                cls.scope is api.Scope.CELL and attempt.server.stripe != server.stripe)
+                cls.scope is api.Scope.CELL and attempt.server.stripe != server.stripe
+            )
             if elsewhere or cls.semantics is api.Semantics.ONCE or self.now >= attempt.sent + cls.window:
                 return False
         return True
@@ -736,7 +753,7 @@
             self.watch_at = 0
             self.out.append(api.Watch())
         for server in self.known.values():
-            server.past = [*server.past[1 - REPORT_AGE:], self._own_load(server)]
+            server.past = [*server.past[1 - REPORT_AGE :], self._own_load(server)]
         if self.probes >= 1 + PROBE_KEPT:
             due = sorted((s for s in self.live if s.probe_at <= self.now), key=lambda s: s.probe_at)
             self._probe(due, PROBE_KEPT)
--- a/scaledeal/quic/core/router.py
+++ b/scaledeal/quic/core/router.py
@@ -43,8 +43,9 @@
 class Router:
     """The table, the ids and the choices between them."""
 
-    def __init__(self, table: FlowTable, codecs: dict[int, Codec], reset_key: bytes, retry_key: bytes,
-                 retry_above: int) -> None:
+    def __init__(
+        self, table: FlowTable, codecs: dict[int, Codec], reset_key: bytes, retry_key: bytes, retry_above: int
+    ) -> None:
         self.table = table
         self.ids = ServerIds(codecs)
         self.reset_key, self.retry_key = reset_key, retry_key
@@ -82,7 +83,7 @@
         first = datagram[0]
         if first & LONG or len(datagram) < LEAST_SHORT:
             return None
-        path = self.table.routes.get((source, datagram[1:1 + self.lengths[datagram[1] >> 5]]))
+        path = self.table.routes.get((source, datagram[1 : 1 + self.lengths[datagram[1] >> 5]]))
         return path if path is not None and path.proven else None
 
     def from_client(self, now: int, unix_now: int, source: Source, datagram: bytes) -> list[Verdict]:
@@ -98,7 +99,7 @@
 
     def _short(self, now: int, source: Source, datagram: bytes) -> list[Verdict]:
         length = self.lengths[datagram[1] >> 5]
-        cid = datagram[1:1 + length] if length else b""
+        cid = datagram[1 : 1 + length] if length else b""
         return self._by_id(now, source, cid, datagram) or [Drop("id of no flow")]
 
     def _by_id(self, now: int, source: Source, cid: bytes, datagram: bytes) -> list[Verdict]:
@@ -191,8 +192,7 @@
             self.table.prove(path)
         return self._on_path(now, flow, source, dcid, datagram)
 
-    def _begin(self, now: int, unix_now: int, source: Source, first: Packet,
-               datagram: bytes) -> list[Verdict] | None:
+    def _begin(self, now: int, unix_now: int, source: Source, first: Packet, datagram: bytes) -> list[Verdict] | None:
         """Begin a flow; None where the datagram is no client's first."""
         if len(datagram) < LEAST_INITIAL:
             return [Drop("Initial too small")]
@@ -279,8 +279,14 @@
         flow.attempt, flow.early = None, []
         self.table.drop(path)
         opening.number += 1
-        last = protection.initial(opening.keys.client, opening.version, opening.dcid, opening.scid, opening.number,
-                                  frames.close(code).ljust(LEAST_INITIAL, b"\0"))
+        last = protection.initial(
+            opening.keys.client,
+            opening.version,
+            opening.dcid,
+            opening.scid,
+            opening.number,
+            frames.close(code).ljust(LEAST_INITIAL, b"\0"),
+        )
         return [ToServer(path, (last,)), Shut(path)]
 
     def answer(self, flow: Flow, code: int, reason: bytes, now: int) -> list[Verdict]:
@@ -410,5 +416,4 @@
 def _closing(opening: Opening, code: int, reason: bytes) -> bytes:
     """Return a server's CONNECTION_CLOSE in an Initial that the client takes."""
     own = secrets.token_bytes(LEAST_DCID)
-    return protection.initial(opening.keys.server, opening.version, opening.scid, own, 0,
-                              frames.close(code, reason))
+    return protection.initial(opening.keys.server, opening.version, opening.scid, own, 0, frames.close(code, reason))
--- a/scaledeal/quic/core/table.py
+++ b/scaledeal/quic/core/table.py
@@ -62,8 +62,27 @@
 class Flow:
     """One QUIC connection, as far as a relay can tell one."""
 
-    __slots__ = ("adopted", "agent", "answer", "attempt", "dcid", "due", "early", "frozen", "ids", "opening", "paths",
-                 "proven", "repeats", "scid", "server", "since", "source", "state", "version")
+    __slots__ = (
+        "adopted",
+        "agent",
+        "answer",
+        "attempt",
+        "dcid",
+        "due",
+        "early",
+        "frozen",
+        "ids",
+        "opening",
+        "paths",
+        "proven",
+        "repeats",
+        "scid",
+        "server",
+        "since",
+        "source",
+        "state",
+        "version",
+    )
 
     def __init__(self, source: Source, dcid: bytes, now: int, state: State) -> None:
         self.source = source
--- a/scaledeal/quic/ids/key_file.py
+++ b/scaledeal/quic/ids/key_file.py
@@ -25,8 +25,9 @@
             if not stat.S_ISREG(about.st_mode):
                 raise KeyRingError(f"{path}: is no file")
             if about.st_mode & 0o077:
-                raise KeyRingError(f"{path}: others may read it (mode {stat.S_IMODE(about.st_mode):04o}); "
-                                   "0600 is demanded")
+                raise KeyRingError(
+                    f"{path}: others may read it (mode {stat.S_IMODE(about.st_mode):04o}); 0600 is demanded"
+                )
             if about.st_uid not in (os.geteuid(), 0):
                 raise KeyRingError(f"{path}: belongs to another user")
             text = file.read(LONGEST + 1)
--- a/scaledeal/quic/ids/keys.py
+++ b/scaledeal/quic/ids/keys.py
@@ -40,8 +40,9 @@
     def config(self) -> Config:
         """Return it as the codec takes it; raise KeyRingError where it is out of bounds."""
         try:
-            return Config(self.number, self.server_id_length, self.nonce_length, bytes.fromhex(self.key),
-                          self.self_encoded)
+            return Config(
+                self.number, self.server_id_length, self.nonce_length, bytes.fromhex(self.key), self.self_encoded
+            )
         except ConfigError as error:
             raise KeyRingError(str(error)) from None
         except ValueError:
@@ -106,8 +107,9 @@
         """Return a codec for each config, by its rotation bits."""
         return {each.number: Codec(each.config()) for each in self.configs}
 
-    def rotated(self, server_id_length: int, nonce_length: int, plaintext: bool = False,
-                self_encoded: bool = True) -> KeyRing:
+    def rotated(
+        self, server_id_length: int, nonce_length: int, plaintext: bool = False, self_encoded: bool = True
+    ) -> KeyRing:
         """Return the ring with a new active config; the one before stays in force as an old one."""
         used = {each.number for each in self.configs}
         free = [number for number in range(MOST_CONFIGS) if number not in used]
@@ -129,8 +131,9 @@
         return msgspec.structs.replace(self, configs=tuple(e for e in self.configs if e is not entry))
 
 
-def new_entry(number: int, server_id_length: int, nonce_length: int, plaintext: bool = False,
-              self_encoded: bool = True) -> KeyEntry:
+def new_entry(
+    number: int, server_id_length: int, nonce_length: int, plaintext: bool = False, self_encoded: bool = True
+) -> KeyEntry:
     """Return a config with a key drawn at random."""
     key = "" if plaintext else secrets.token_hex(BLOCK)
     entry = KeyEntry(number, server_id_length, nonce_length, key, self_encoded, token_key=secrets.token_hex(SECRET))
@@ -138,8 +141,9 @@
     return entry
 
 
-def new_ring(server_id_length: int = 8, nonce_length: int = 8, plaintext: bool = False,
-             self_encoded: bool = True) -> KeyRing:
+def new_ring(
+    server_id_length: int = 8, nonce_length: int = 8, plaintext: bool = False, self_encoded: bool = True
+) -> KeyRing:
     """Return a ring with one config; the lengths fill a block unless others are asked for."""
     entry = new_entry(0, server_id_length, nonce_length, plaintext, self_encoded)
     return KeyRing((entry,), secrets.token_hex(SECRET), secrets.token_hex(SECRET))
--- a/scaledeal/quic/ids/lb.py
+++ b/scaledeal/quic/ids/lb.py
@@ -39,8 +39,10 @@
         if not 4 <= self.nonce_length <= 18:
             raise ConfigError(f"nonce of {self.nonce_length} bytes: must have 4 to 18")
         if self.server_id_length + self.nonce_length > LONGEST - 1:
-            raise ConfigError(f"server id and nonce of {self.server_id_length + self.nonce_length} bytes: "
-                              f"must have {LONGEST - 1} at most together")
+            raise ConfigError(
+                f"server id and nonce of {self.server_id_length + self.nonce_length} bytes: "
+                f"must have {LONGEST - 1} at most together"
+            )
         if len(self.key) not in (0, BLOCK):
             raise ConfigError(f"key of {len(self.key)} bytes: must have {BLOCK}, or none")
 
@@ -90,7 +92,7 @@
         if config.self_encoded and cid[0] & 0x1F != config.length - 1:
             return None
         plain = self._plain(cid[1:])
-        return plain[:config.server_id_length], plain[config.server_id_length:]
+        return plain[: config.server_id_length], plain[config.server_id_length :]
 
     def _covered(self, plain: bytes) -> bytes:
         if self._encrypt is None:
@@ -132,7 +134,7 @@
 def _split(both: bytes) -> tuple[bytes, bytes, bool]:
     """Return the halves; of an odd length, each holds four bits of the byte in the middle."""
     half, odd = (len(both) + 1) // 2, len(both) % 2 == 1
-    left, right = both[:half], both[len(both) - half:]
+    left, right = both[:half], both[len(both) - half :]
     if odd:
         left, right = left[:-1] + bytes((left[-1] & 0xF0,)), bytes((right[0] & 0x0F,)) + right[1:]
     return left, right, odd
--- a/scaledeal/quic/sockets/front.py
+++ b/scaledeal/quic/sockets/front.py
@@ -35,15 +35,17 @@
         """
         family = socket.AF_INET6 if ":" in at.host else socket.AF_INET
         try:
-            with socket.socket(family, socket.SOCK_DGRAM) if descriptor is None else \
-                    socket.socket(fileno=os.dup(descriptor)) as sock:
+            with (
+                socket.socket(family, socket.SOCK_DGRAM)
+                if descriptor is None
+                else socket.socket(fileno=os.dup(descriptor)) as sock
+            ):
                 if descriptor is None:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
                     sock.bind((at.host, at.port))
                 # Guards against a read that waits: Twisted sets this only on sockets of its own making.
                 sock.setblocking(False)
-                self.port = cast(Any, udp.Port)._fromListeningDescriptor(reactor, sock.fileno(), family, self,
-                                                                          65_536)
+                self.port = cast(Any, udp.Port)._fromListeningDescriptor(reactor, sock.fileno(), family, self, 65_536)
         except OSError as error:
             raise ConfigError(f"quic.listen: {at.host}:{at.port}: {error.strerror}") from None
         self.port.startListening()
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -50,8 +50,7 @@
         self.read_file = read_file
         ring = self._keys(quic)
         table = FlowTable(quic.max_flows, quic.max_paths, quic.paths_a_flow, int(quic.idle))
-        self.router = Router(table, ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key"),
-                             quic.retry_above)
+        self.router = Router(table, ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key"), quic.retry_above)
         self.placing = self._placing(quic)
         self.front = Front(self)
         self.handover = Handover(self)
@@ -65,8 +64,14 @@
         self._told_foreign = False
         self._reserve()
         self._carry: dict[type, Callable[[Any], bool]] = {
-            v.ToServer: self._to_server, v.ToClient: self._to_client, v.Ask: self._ask, v.Adopt: self._adopt,
-            v.Served: self._served, v.TurnedAway: self._turned_away, v.Shut: self._shut, v.Over: self._over,
+            v.ToServer: self._to_server,
+            v.ToClient: self._to_client,
+            v.Ask: self._ask,
+            v.Adopt: self._adopt,
+            v.Served: self._served,
+            v.TurnedAway: self._turned_away,
+            v.Shut: self._shut,
+            v.Over: self._over,
             v.Drop: lambda drop: self.count(drop.why),
         }
 
@@ -88,8 +93,10 @@
         admission = self.relay.door.reception.admission
         wanted = self.quic.max_paths + 4  # the front, the handover, and its two ends
         if admission.most - wanted < OWN + LEAST_IDLE:
-            raise told.ConfigError(f"quic.max_paths: {wanted} descriptors of {admission.most} leave lines too few; "
-                                   f"{max(0, admission.most - OWN - LEAST_IDLE - 4)} paths fit")
+            raise told.ConfigError(
+                f"quic.max_paths: {wanted} descriptors of {admission.most} leave lines too few; "
+                f"{max(0, admission.most - OWN - LEAST_IDLE - 4)} paths fit"
+            )
         admission.most -= wanted
 
     def start(self) -> None:
@@ -126,8 +133,12 @@
     def lines(self) -> list[str]:
         """Return the figures as operators read them."""
         table = self.router.table
-        levels = {"flows": len(table.flows), "paths": table.paths, "under_way": table.under_way,
-                  "foreign_ids": self.router.foreign}
+        levels = {
+            "flows": len(table.flows),
+            "paths": table.paths,
+            "under_way": table.under_way,
+            "foreign_ids": self.router.foreign,
+        }
         dropped = [f'relay_quic_dropped_total{{why="{why}"}} {count}' for why, count in sorted(self.drops.items())]
         return [f"relay_quic_{name} {value}" for name, value in levels.items()] + dropped
 
@@ -256,8 +267,10 @@
         verdict.flow.agent.current.served()
         if self.router.foreign and not self._told_foreign:
             self._told_foreign = True
-            log.warning("a server makes ids that do not say where they belong: they last as long as the table",
-                        server=verdict.flow.server)
+            log.warning(
+                "a server makes ids that do not say where they belong: they last as long as the table",
+                server=verdict.flow.server,
+            )
         return True
 
     def _turned_away(self, verdict: v.TurnedAway) -> bool:
@@ -309,8 +322,10 @@
 
     def _collide(self, pairs: frozenset[tuple[str, str]]) -> None:
         for one, other in sorted(pairs):
-            log.error("two servers have the same server id: neither is routed by it; use longer server ids",
-                      servers=[one, other])
+            log.error(
+                "two servers have the same server id: neither is routed by it; use longer server ids",
+                servers=[one, other],
+            )
 
     def _tick(self) -> None:
         if self.closed:
--- a/scaledeal/quic/wire/buffer.py
+++ b/scaledeal/quic/wire/buffer.py
@@ -27,7 +27,7 @@
         if length < 0 or at + length > self.end:
             raise MalformedError("ends too soon")
         self.at = at + length
-        return self.data[at:self.at]
+        return self.data[at : self.at]
 
     def uint(self, length: int) -> int:
         """Pull an unsigned integer of so many bytes, in network order."""
--- a/scaledeal/quic/wire/frames.py
+++ b/scaledeal/quic/wire/frames.py
@@ -64,7 +64,7 @@
     length, at = varint_at(payload, at)
     if at + length > len(payload):
         raise MalformedError("ends too soon")
-    return payload[at:at + length], at + length
+    return payload[at : at + length], at + length
 
 
 def _ack(payload: bytes, at: int, kind: int) -> tuple[int, int]:
--- a/scaledeal/quic/wire/hello.py
+++ b/scaledeal/quic/wire/hello.py
@@ -43,8 +43,8 @@
                 kept.append((at, held))
                 continue
             # Touching or overlapping: what came first stands, so that a later copy can't change it.
-            before = data[:max(0, at - start)]
-            after = data[max(0, end - start):]
+            before = data[: max(0, at - start)]
+            after = data[max(0, end - start) :]
             start, data = min(at, start), before + held + after
         if len(kept) >= PIECES:
             raise MalformedError("the ClientHello is in too many pieces")
@@ -65,7 +65,7 @@
     length = int.from_bytes(stream[1:4], "big")
     if length > LONGEST - 4:
         raise MalformedError("the ClientHello is too long")
-    return stream[4:4 + length] if len(stream) >= 4 + length else None
+    return stream[4 : 4 + length] if len(stream) >= 4 + length else None
 
 
 def read(body: bytes) -> Hello:
@@ -83,9 +83,9 @@
         at = reader.at
         # Slices, as a ClientHello has a dozen extensions and two of them matter.
         while at < end:
-            kind = int.from_bytes(body[at:at + 2], "big")
+            kind = int.from_bytes(body[at : at + 2], "big")
             start = at + 4
-            at = start + int.from_bytes(body[at + 2:start], "big")
+            at = start + int.from_bytes(body[at + 2 : start], "big")
             if at > end or start > end:
                 raise MalformedError("ends too soon")
             if kind == _SERVER_NAME:
--- a/scaledeal/quic/wire/packet.py
+++ b/scaledeal/quic/wire/packet.py
@@ -66,8 +66,8 @@
         raise MalformedError("ends too soon") from None
     if end > len(datagram):
         raise MalformedError("ends too soon")
-    version = int.from_bytes(datagram[start + 1:start + 5], "big")
-    return version, datagram[start + 6:middle], datagram[middle + 1:end], end
+    version = int.from_bytes(datagram[start + 1 : start + 5], "big")
+    return version, datagram[start + 6 : middle], datagram[middle + 1 : end], end
 
 
 def invariants(datagram: bytes) -> tuple[int, bytes, bytes, int]:
@@ -94,7 +94,7 @@
     token = b""
     if kind is Kind.INITIAL:
         length, at = varint_at(datagram, at)
-        token, at = datagram[at:at + length], at + length
+        token, at = datagram[at : at + length], at + length
     length, at = varint_at(datagram, at)
     if at + length > len(datagram):
         raise MalformedError("ends too soon")
@@ -135,8 +135,7 @@
     first = LONG | FIXED | type_bits(kind, version) << 4 | 3
     told = varint(len(token)) + token if kind is Kind.INITIAL else b""
     # Two bytes for the length in any case, so that the header's size does not hang on it.
-    return (bytes((first,)) + version.to_bytes(4, "big") + _ids(dcid, scid) + told
-            + (length | 0x4000).to_bytes(2, "big"))
+    return bytes((first,)) + version.to_bytes(4, "big") + _ids(dcid, scid) + told + (length | 0x4000).to_bytes(2, "big")
 
 
 def negotiation(dcid: bytes, scid: bytes) -> bytes:
--- a/scaledeal/quic/wire/protection.py
+++ b/scaledeal/quic/wire/protection.py
@@ -30,11 +30,18 @@
     retry_nonce: bytes
 
 
-_V1 = _Version(bytes.fromhex("38762cf7f55934b34d179ae6a4c80cadccbb7f0a"), (b"quic key", b"quic iv", b"quic hp"),
-               bytes.fromhex("be0c690b9f66575a1d766b54e368c84e"), bytes.fromhex("461599d35d632bf2239825bb"))
-_V2 = _Version(bytes.fromhex("0dede3def700a6db819381be6e269dcbf9bd2ed9"),
-               (b"quicv2 key", b"quicv2 iv", b"quicv2 hp"),
-               bytes.fromhex("8fb4b01b56ac48e260fbcbcead7ccc92"), bytes.fromhex("d86969bc2d7c6d9990efb04a"))
+_V1 = _Version(
+    bytes.fromhex("38762cf7f55934b34d179ae6a4c80cadccbb7f0a"),
+    (b"quic key", b"quic iv", b"quic hp"),
+    bytes.fromhex("be0c690b9f66575a1d766b54e368c84e"),
+    bytes.fromhex("461599d35d632bf2239825bb"),
+)
+_V2 = _Version(
+    bytes.fromhex("0dede3def700a6db819381be6e269dcbf9bd2ed9"),
+    (b"quicv2 key", b"quicv2 iv", b"quicv2 hp"),
+    bytes.fromhex("8fb4b01b56ac48e260fbcbcead7ccc92"),
+    bytes.fromhex("d86969bc2d7c6d9990efb04a"),
+)
 
 
 def _version(version: int) -> _Version:
@@ -90,17 +97,17 @@
         A number is taken as it is written: Initial packets are the first, and theirs are small.
         """
         at = packet.number_at
-        sample = datagram[at + 4:at + 4 + SAMPLE]
+        sample = datagram[at + 4 : at + 4 + SAMPLE]
         if packet.end - at < 4 + SAMPLE:
             raise MalformedError("too short for a sample")
         mask = self.mask(self.hp, sample)
         first = datagram[packet.start] ^ mask[0] & 0x0F
         length = (first & 3) + 1
-        told = bytes(a ^ b for a, b in zip(datagram[at:at + length], mask[1:], strict=False))
-        header = bytes((first,)) + datagram[packet.start + 1:at] + told
+        told = bytes(a ^ b for a, b in zip(datagram[at : at + length], mask[1:], strict=False))
+        header = bytes((first,)) + datagram[packet.start + 1 : at] + told
         number = int.from_bytes(told, "big")
         try:
-            return number, self.aead.decrypt(self._nonce(number), datagram[at + length:packet.end], header)
+            return number, self.aead.decrypt(self._nonce(number), datagram[at + length : packet.end], header)
         except InvalidTag:
             raise MalformedError("does not open") from None
 
@@ -108,7 +115,7 @@
         """Return a packet from its whole plain header, which ends with the packet number (section 5.4.1)."""
         length = (header[0] & 3) + 1
         sealed = self.aead.encrypt(self._nonce(number), payload, header)
-        mask = self.mask(self.hp, sealed[4 - length:4 - length + SAMPLE])
+        mask = self.mask(self.hp, sealed[4 - length : 4 - length + SAMPLE])
         first = header[0] ^ mask[0] & (0x0F if header[0] & LONG else 0x1F)
         covered = bytes(a ^ b for a, b in zip(header[-length:], mask[1:], strict=False))
         return bytes((first,)) + header[1:-length] + covered + sealed
@@ -128,8 +135,9 @@
         self.server = Keys(_expand(secret, b"server in", 32), version)
 
 
-def initial(keys: Keys, version: int, dcid: bytes, scid: bytes, number: int, payload: bytes,
-            token: bytes = b"") -> bytes:
+def initial(
+    keys: Keys, version: int, dcid: bytes, scid: bytes, number: int, payload: bytes, token: bytes = b""
+) -> bytes:
     """Return a whole Initial packet; short payloads are padded so that there is a sample."""
     payload = payload.ljust(4, b"\0")
     header = long_header(Kind.INITIAL, version, dcid, scid, token, 4 + len(payload) + TAG)
--- a/scaledeal/resume/core/register.py
+++ b/scaledeal/resume/core/register.py
@@ -94,8 +94,9 @@
         return Why.HOLDER if register.epoch == shown.epoch else Why.STALE
     if register.expires <= now:
         return Why.EXPIRED
-    return msgspec.structs.replace(register, epoch=register.epoch + 1, holder=holder, expires=expires,
-                                   commitment=shown.commitment)
+    return msgspec.structs.replace(
+        register, epoch=register.epoch + 1, holder=holder, expires=expires, commitment=shown.commitment
+    )
 
 
 def record(register: Register | None, epoch: int, progress: Progress, expires: int) -> Outcome:
@@ -106,8 +107,14 @@
         return Why.STALE
     if not _sound(register, progress):
         return Why.BOUNDS
-    return msgspec.structs.replace(register, applied=progress.applied, sent=progress.sent, state=progress.state,
-                                   outbox=progress.outbox, expires=max(expires, register.expires))
+    return msgspec.structs.replace(
+        register,
+        applied=progress.applied,
+        sent=progress.sent,
+        state=progress.state,
+        outbox=progress.outbox,
+        expires=max(expires, register.expires),
+    )
 
 
 def answer(register: Register | None, epoch: int) -> Outcome:
@@ -123,7 +130,11 @@
 
 def _sound(register: Register, progress: Progress) -> bool:
     numbers = [number for number, _ in progress.outbox]
-    return (progress.applied >= register.applied and progress.sent >= register.sent
-            and len(progress.state) <= MOST_STATE and len(numbers) <= MOST_OUTBOX
-            and all(len(line) <= MOST_LINE for _, line in progress.outbox)
-            and numbers == list(range(progress.sent - len(numbers) + 1, progress.sent + 1)))
+    return (
+        progress.applied >= register.applied
+        and progress.sent >= register.sent
+        and len(progress.state) <= MOST_STATE
+        and len(numbers) <= MOST_OUTBOX
+        and all(len(line) <= MOST_LINE for _, line in progress.outbox)
+        and numbers == list(range(progress.sent - len(numbers) + 1, progress.sent + 1))
+    )
--- a/scaledeal/resume/core/token.py
+++ b/scaledeal/resume/core/token.py
@@ -113,7 +113,7 @@
         if aead is None:
             return Refused.KEY
         try:
-            plain = aead.decrypt(raw[1:1 + _NONCE], raw[1 + _NONCE:], _PURPOSE + raw[:1])
+            plain = aead.decrypt(raw[1 : 1 + _NONCE], raw[1 + _NONCE :], _PURPOSE + raw[:1])
             return msgspec.msgpack.decode(plain, type=Token)
         except (InvalidTag, msgspec.MsgspecError):
             return Refused.MALFORMED
--- a/scaledeal/resume/stores/ledger.py
+++ b/scaledeal/resume/stores/ledger.py
@@ -140,8 +140,10 @@
         try:
             outcomes = work()
             granted = sum(isinstance(each, Register) for each in outcomes)
-            grants = self._base.execute("UPDATE about SET grants = grants + ?, rows = ?, sums = ? RETURNING grants",
-                                        (granted, self._rows, self._sums)).fetchone()[0]
+            grants = self._base.execute(
+                "UPDATE about SET grants = grants + ?, rows = ?, sums = ? RETURNING grants",
+                (granted, self._rows, self._sums),
+            ).fetchone()[0]
             self._base.execute("COMMIT")
         except BaseException as error:
             self._rows, self._sums = before
@@ -165,8 +167,10 @@
         if before is not None:
             self._remove(_sum(msgspec.msgpack.encode(before)))
         self._rows, self._sums = self._rows + 1, _xor(self._sums, _sum(body))
-        self._base.execute("INSERT OR REPLACE INTO sessions VALUES (?, ?, ?, ?, ?)",
-                           (session, after.expires, after.answered, body, _sum(body)))
+        self._base.execute(
+            "INSERT OR REPLACE INTO sessions VALUES (?, ?, ?, ?, ?)",
+            (session, after.expires, after.answered, body, _sum(body)),
+        )
         return after
 
     def _remove(self, total: bytes) -> None:
--- a/scaledeal/resume/wire/desk.py
+++ b/scaledeal/resume/wire/desk.py
@@ -228,7 +228,18 @@
     def token(self) -> bytes:
         """Return the token that is good now; raise ValueError where it would be too long."""
         register, names, now = self.register, self.names, self.desk.clock()
-        token = Token(register.session, register.epoch, names.get("c", ""), names.get("g", ""),
-                      int(names.get("t") or 0), register.holder, self.desk.owner.name, register.applied,
-                      register.sent, now, now + self.desk.expiry, register.commitment)
+        token = Token(
+            register.session,
+            register.epoch,
+            names.get("c", ""),
+            names.get("g", ""),
+            int(names.get("t") or 0),
+            register.holder,
+            self.desk.owner.name,
+            register.applied,
+            register.sent,
+            now,
+            now + self.desk.expiry,
+            register.commitment,
+        )
         return self.desk.sealer.seal(token).encode()
--- a/scaledeal/resume/wire/words.py
+++ b/scaledeal/resume/wire/words.py
@@ -42,7 +42,7 @@
 def keep(line: bytes) -> bytes | None:
     """Return the state that a server's KEEP line holds; None where it holds none."""
     try:
-        return urlsafe_b64decode(line[len(KEEP) + 1:])
+        return urlsafe_b64decode(line[len(KEEP) + 1 :])
     except (Base64Error, ValueError):
         return None
 
--- a/scaledeal/settings.py
+++ b/scaledeal/settings.py
@@ -13,12 +13,10 @@
 
 from scaledeal import interface as api
 
-_SEMANTICS = {"repeatable": api.Semantics.REPEATABLE, "by_key": api.Semantics.KEYED,
-              "once": api.Semantics.ONCE}
+_SEMANTICS = {"repeatable": api.Semantics.REPEATABLE, "by_key": api.Semantics.KEYED, "once": api.Semantics.ONCE}
 _SOURCES = {"answers": api.Source.ANSWERS, "probe": api.Source.PROBES, "none": api.Source.NONE}
 _FIELDS = {"x0": api.Field.UTILISATION, "busy": api.Field.BUSY, "rif": api.Field.INFLIGHT}
-_LISTS = frozenset({"Report.Fields", "Specifics.MessageAim", "Specifics.TenantQuotaConnections",
-                    "FailureDomains"})
+_LISTS = frozenset({"Report.Fields", "Specifics.MessageAim", "Specifics.TenantQuotaConnections", "FailureDomains"})
 
 
 class _Section(msgspec.Struct, rename="pascal", frozen=True):
@@ -114,8 +112,10 @@
         """Return what the decision module is told; raise ValueError where it can't work with that."""
         return api.Settings(
             classes=tuple(self._class(i, entry) for i, entry in enumerate(self.classes)),
-            tenants=tuple(api.Tenant(entry.allowance_per_s, _at(self.specifics.tenant_quota_connections, i))
-                          for i, entry in enumerate(self.accounts)),
+            tenants=tuple(
+                api.Tenant(entry.allowance_per_s, _at(self.specifics.tenant_quota_connections, i))
+                for i, entry in enumerate(self.accounts)
+            ),
             siblings=self.relays(),
             me=int(self.me),
             zone=int(self.zone),
--- a/scaledeal/wirehost.py
+++ b/scaledeal/wirehost.py
@@ -17,11 +17,22 @@
 from scaledeal.settings import from_pairs
 
 _STATES = {"live": api.ServerState.LIVE, "quiescing": api.ServerState.DRAINING, "dead": api.ServerState.GONE}
-_KINDS = {"incr": api.MembershipKind.CHANGES, "total": api.MembershipKind.FULL,
-          "warm_copy": api.MembershipKind.INITIAL, "lost": api.MembershipKind.LOST}
-_RESULTS = {"done": api.Result.OK, "err": api.Result.ERROR, "busy": api.Result.FULL,
-            "etimedout": api.Result.TIMEOUT, "econnrefused": api.Result.CONNECT_FAILED,
-            "econnreset": api.Result.RESET, "ecanceled": api.Result.CANCELLED, "skipped": api.Result.NOT_SENT}
+_KINDS = {
+    "incr": api.MembershipKind.CHANGES,
+    "total": api.MembershipKind.FULL,
+    "warm_copy": api.MembershipKind.INITIAL,
+    "lost": api.MembershipKind.LOST,
+}
+_RESULTS = {
+    "done": api.Result.OK,
+    "err": api.Result.ERROR,
+    "busy": api.Result.FULL,
+    "etimedout": api.Result.TIMEOUT,
+    "econnrefused": api.Result.CONNECT_FAILED,
+    "econnreset": api.Result.RESET,
+    "ecanceled": api.Result.CANCELLED,
+    "skipped": api.Result.NOT_SENT,
+}
 _NOTES = {"1": api.NoteKind.LOAD, "2": api.NoteKind.DELAY}
 _MID_FLOW, _RETURNING = 8, 16
 
@@ -130,8 +141,9 @@
 
 
 def _headers(row: _Row) -> api.Event:
-    return api.Established(row.need(0, "Handle"), row.whole(3, "SendNo"), row.need(1, "Server"),
-                           row.whole(2, "Elapsed"))
+    return api.Established(
+        row.need(0, "Handle"), row.whole(3, "SendNo"), row.need(1, "Server"), row.whole(2, "Elapsed")
+    )
 
 
 def _completed(row: _Row) -> api.Event:
--- a/tests/discovery_wire.py
+++ b/tests/discovery_wire.py
@@ -19,11 +19,21 @@
 from scaledeal.net.relay import Relay
 from scaledeal.net.system import System
 
-RULES = {"AskWithin": 10_000_000_000, "DrainGrace": 1_000_000_000, "ColdFrom": 0.25, "WarmAfter": 20_000_000_000,
-         "OverloadFactor": 1.5, "Fall": 1_000_000_000}
+RULES = {
+    "AskWithin": 10_000_000_000,
+    "DrainGrace": 1_000_000_000,
+    "ColdFrom": 0.25,
+    "WarmAfter": 20_000_000_000,
+    "OverloadFactor": 1.5,
+    "Fall": 1_000_000_000,
+}
 SETTINGS: dict[str, Any] = {
     "Classes": [{"Name": "browse", "Aim": 300_000_000, "Deadline": 3_000_000_000, "Semantics": "repeatable"}],
-    "Caps": {"Cancelling": True, "DialTimeout": 250_000_000, "MaxAttempts": 6}, "Rules": RULES, "Siblings": 3, "Me": 1}
+    "Caps": {"Cancelling": True, "DialTimeout": 250_000_000, "MaxAttempts": 6},
+    "Rules": RULES,
+    "Siblings": 3,
+    "Me": 1,
+}
 OLD, NEW, THIRD = "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"
 
 
@@ -87,7 +97,7 @@
             body = b"".join(b"1\r\n%c\r\n" % byte for byte in body) + b"0\r\n\r\n"
         data = (b"HTTP/1.1 200 OK\r\n" + kind + b"\r\n\r\n") * header + body
         for at in range(0, len(data), step or len(data)):
-            self.wire.receive(data[at:at + (step or len(data))])
+            self.wire.receive(data[at : at + (step or len(data))])
 
 
 class Discovery:
@@ -101,8 +111,18 @@
         net.discoveries[address] = self
 
     def listing(self, snapshot: bool = True, indent: int | None = None) -> bytes:
-        entries = [{"name": name, "address": f"10.1.0.{name[1:]}:9", "zone": "a", "group": 0, "status": state,
-                    "weight": 1.0, "since_ms": self.since.get(name, 0)} for name, state in self.states.items()]
+        entries = [
+            {
+                "name": name,
+                "address": f"10.1.0.{name[1:]}:9",
+                "zone": "a",
+                "group": 0,
+                "status": state,
+                "weight": 1.0,
+                "since_ms": self.since.get(name, 0),
+            }
+            for name, state in self.states.items()
+        ]
         told = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
         return json.dumps(told, indent=indent).encode()
 
@@ -183,13 +203,18 @@
         self.path = folder / "c.json"
         self.file: dict[str, Any] = {
             "settings": {**SETTINGS, "Discovery": "pushed" if pushed else "on_request"},
-            "known": json.loads(self.old.listing())}
+            "known": json.loads(self.old.listing()),
+        }
         self.path.write_text(json.dumps(self.file))
         patch.setenv("PROXY_CONFIG", str(self.path))
         read = config.read({"PROXY_CONFIG": str(self.path), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": OLD})
         system = System()
-        port = SimpleNamespace(startListening=lambda: None, stopListening=lambda: None, startReading=lambda: None,
-                               getHost=lambda: SimpleNamespace(port=9))
+        port = SimpleNamespace(
+            startListening=lambda: None,
+            stopListening=lambda: None,
+            startReading=lambda: None,
+            getHost=lambda: SimpleNamespace(port=9),
+        )
         system.monotonic = system.unix = lambda: int(self.net.seconds() * 1e9)  # type: ignore[method-assign]
         system.port = lambda *_: port  # type: ignore[method-assign, assignment, return-value]
         self.relay = Relay(self.net, read, system)
@@ -212,7 +237,8 @@
     def sent_to(self, number: int) -> str:
         """Have a client ask, and return the address where its attempt goes, if one begins at once."""
         before = len(self.net.dialled)
-        Wire(self.net, self.relay.door.buildProtocol(None)).receive(b"OPEN %x %x c=browse,d=3000,g=5c0f\r\n" % (
-            number, number))
+        Wire(self.net, self.relay.door.buildProtocol(None)).receive(
+            b"OPEN %x %x c=browse,d=3000,g=5c0f\r\n" % (number, number)
+        )
         attempts = [made for made in self.net.dialled[before:] if made.address not in self.net.discoveries]
         return attempts[0].address if attempts else ""
--- a/tests/lab_broken.py
+++ b/tests/lab_broken.py
@@ -1,31 +1,39 @@
 """Decision modules that are broken on purpose, as sources: each checker of the laboratory must bark at one of them."""
 
-HEAD = '''
+HEAD = """
 from scaledeal import interface as api
 from scaledeal.policy import *
 from scaledeal.policy import Balancer as Sound
 from scaledeal.policy import rendezvous
-'''
+"""
 
-LOST_ANSWER = HEAD + '''
+LOST_ANSWER = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _again(self, flight):
         if flight.attempts[-1].result is api.Result.RESET:
             self._drop(flight)  # forgotten: nobody answers its client
         else:
             super()._again(flight)
-'''
+"""
+)
 
-COLD_FORGOTTEN = HEAD + '''
+COLD_FORGOTTEN = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _membership(self, event):
         super()._membership(event)
         if event.kind is api.MembershipKind.FULL:
             for server in self.servers.values():
                 server.started = 0  # a list read again: all seem warm
-'''
+"""
+)
 
-TWO_AT_ONCE = HEAD + '''
+TWO_AT_ONCE = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _tick(self, event):
         super()._tick(event)
@@ -33,47 +41,66 @@
             waits = flight.attempts and flight.attempts[-1].result is None and not flight.opened
             if waits and self.now - flight.attempts[-1].sent > 100_000_000 and len(self.live) > 1:
                 self._send(flight, [s for s in self.live if s is not flight.attempts[-1].server][0])
-'''
+"""
+)
 
-TWO_ANSWERS = HEAD + '''
+TWO_ANSWERS = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _refuse(self, flight, why):
         super()._refuse(flight, why)
         self.out.append(api.Fail(flight.id, why))
-'''
+"""
+)
 
-DRAINING_USED = HEAD + '''
+DRAINING_USED = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _membership(self, event):
         super()._membership(event)
         self.live = [s for s in self.servers.values() if s.state is not api.ServerState.GONE]
-'''
+"""
+)
 
-RAISES = HEAD + '''
+RAISES = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _probed(self, event):
         raise ZeroDivisionError("on purpose")
-'''
+"""
+)
 
-NEVER_REFUSES = HEAD + '''
+NEVER_REFUSES = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _refuse(self, flight, why):
         pass
-'''
+"""
+)
 
-SEVENTH_ATTEMPT = HEAD + '''
+SEVENTH_ATTEMPT = (
+    HEAD
+    + """
 class Balancer(Sound):
     def _again(self, flight):
         if flight.deadline - self.now > 0 and self._ready(flight):
             self._place(flight)
         else:
             self._give_up(flight, "late")
-'''
+"""
+)
 
-ALONE = HEAD + '''
+ALONE = (
+    HEAD
+    + """
 from dataclasses import replace
 
 class Balancer(Sound):
     def __init__(self, settings, seed):
         super().__init__(replace(settings, siblings=1), seed)  # takes a cold server's whole budget for itself
-'''
+"""
+)
--- a/tests/lab_small.py
+++ b/tests/lab_small.py
@@ -6,18 +6,30 @@
 from scaledeal.lab.scenario.types import Scenario
 
 TROUBLES = {
-    "hang": 'lasts = "2s"\n  part = 0.4', "pauses": 'lasts = "2s"\n  part = 0.5\n  size = 200\n  period = "0.5s"',
+    "hang": 'lasts = "2s"\n  part = 0.4',
+    "pauses": 'lasts = "2s"\n  part = 0.5\n  size = 200\n  period = "0.5s"',
     "errors": 'lasts = "3s"\n  part = 1\n  size = 1',
     "deploy": 'lasts = "2s"\n  part = 0.6\n  size = 0.4\n  period = "200ms"',
-    "shrink": 'lasts = "1s"\n  part = 0.3\n  size = 0.4', "stale_roster": 'lasts = "2s"\n  size = 2',
-    "silent_streams": "part = 0.2", "crash": 'lasts = "1s"\n  part = 0.4', "zone_lost": 'lasts = "1s"\n  zone = 1',
-    "zone_cut": 'lasts = "1500ms"\n  zone = 0', "resets": 'lasts = "2s"\n  part = 0.3\n  period = "300ms"',
-    "slow_store": 'lasts = "2s"\n  size = 8', "crowd": 'lasts = "2s"\n  size = 6', "relay_kill": "part = 0.5",
-    "relay_restart": 'lasts = "1s"', "upgrade": 'lasts = "1s"', "reload": "part = 1", "discovery_down": 'lasts = "2s"',
-    "slow": 'lasts = "2s"\n  part = 0.4\n  size = 6', "report_late": 'lasts = "2s"\n  size = 2',
-    "neighbour": 'lasts = "3s"\n  part = 0.5\n  size = 0.6\n  period = "500ms"'}
+    "shrink": 'lasts = "1s"\n  part = 0.3\n  size = 0.4',
+    "stale_roster": 'lasts = "2s"\n  size = 2',
+    "silent_streams": "part = 0.2",
+    "crash": 'lasts = "1s"\n  part = 0.4',
+    "zone_lost": 'lasts = "1s"\n  zone = 1',
+    "zone_cut": 'lasts = "1500ms"\n  zone = 0',
+    "resets": 'lasts = "2s"\n  part = 0.3\n  period = "300ms"',
+    "slow_store": 'lasts = "2s"\n  size = 8',
+    "crowd": 'lasts = "2s"\n  size = 6',
+    "relay_kill": "part = 0.5",
+    "relay_restart": 'lasts = "1s"',
+    "upgrade": 'lasts = "1s"',
+    "reload": "part = 1",
+    "discovery_down": 'lasts = "2s"',
+    "slow": 'lasts = "2s"\n  part = 0.4\n  size = 6',
+    "report_late": 'lasts = "2s"\n  size = 2',
+    "neighbour": 'lasts = "3s"\n  part = 0.5\n  size = 0.6\n  period = "500ms"',
+}
 
-SMALL = '''title = "small"
+SMALL = """title = "small"
 seconds = "{seconds}s"
 zones = ["a", "b"]
 servers {{
@@ -57,24 +69,26 @@
   silent = "1s"
   period = "200ms"
 }}
-'''
-CALM = '''network {
+"""
+CALM = """network {
   same = "0s"
   cross = "0s"
   client = "0s"
   jitter = 0
 }
-'''
-HARSH = '''store {
+"""
+HARSH = """store {
   headroom = 2
 }
-'''
+"""
 
 
 def text(troubles: tuple[str, ...] = (), seconds: int = 6, calm: bool = False, harsh: bool = False) -> str:
     """Return the HCL of a small day."""
-    blocks = [f'trouble "{kind}" {{\n  at = "{at}ms"\n  {TROUBLES[kind]}\n}}\n'
-              for kind, at in zip(troubles, range(1000, 9000, 900), strict=False)]
+    blocks = [
+        f'trouble "{kind}" {{\n  at = "{at}ms"\n  {TROUBLES[kind]}\n}}\n'
+        for kind, at in zip(troubles, range(1000, 9000, 900), strict=False)
+    ]
     parts = [SMALL.format(seconds=seconds, load=0.9 if harsh else 0.4), CALM if calm else "", HARSH if harsh else ""]
     return "".join(parts + blocks)
 
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -34,8 +34,11 @@
 MS = 1_000_000
 CLASSES = (api.RequestClass(aim=300 * MS, deadline=1000 * MS, message_aim=60 * MS),)
 SETTINGS = api.Settings(classes=CLASSES, may_cancel=True, max_attempts=6)
-SITE = {"Classes": [{"Name": "browse", "Aim": 300_000_000, "Deadline": 3_000_000_000}], "Discovery": "on_request",
-        "Caps": {"Cancelling": True, "DialTimeout": 250_000_000}}
+SITE = {
+    "Classes": [{"Name": "browse", "Aim": 300_000_000, "Deadline": 3_000_000_000}],
+    "Discovery": "on_request",
+    "Caps": {"Cancelling": True, "DialTimeout": 250_000_000},
+}
 
 
 class Handle:
@@ -225,19 +228,25 @@
         self.reactor = FakeReactor()
         self.reactor.advance(1000)  # a clock at 0 means "never" here
         self.pool = BufferPool()
-        self.driver = Driver(self.reactor, SETTINGS, 1, Figures(("browse",)),
-                             lambda: int(self.reactor.seconds() * 1e9))
+        self.driver = Driver(self.reactor, SETTINGS, 1, Figures(("browse",)), lambda: int(self.reactor.seconds() * 1e9))
         self.module = Scripted()
         self.driver.balancer = self.module  # type: ignore[assignment]
-        context = AttemptContext(self.reactor, self.pool, self.driver.now, report_reader(("fail_rate", "rif", "x0")),
-                      250 * MS)
+        context = AttemptContext(
+            self.reactor, self.pool, self.driver.now, report_reader(("fail_rate", "rif", "x0")), 250 * MS
+        )
         self.admission = Admission(self.reactor, 256, self.driver.now)
         self.probes = HealthProbes(context, 5000 * MS, self.driver.post, self.admission.for_probes)
         self.admission.probing, self.admission.end_probes = self.probes.held, self.probes.give_back
         self.driver.prober = self.probes
         self.service = Service(self.driver)
-        self.reception = Reception(context, {"browse": 0}, {"acme": 0}, self.admission, self.driver.take,
-                                   lambda: self.service.stage is not Stage.LAME_DUCK)
+        self.reception = Reception(
+            context,
+            {"browse": 0},
+            {"acme": 0},
+            self.admission,
+            self.driver.take,
+            lambda: self.service.stage is not Stage.LAME_DUCK,
+        )
         self.service.started()
         self.list(a="127.0.0.1:1", b="127.0.0.1:2")
 
@@ -299,8 +308,9 @@
         self.known = [{"name": f"s{n}", "address": f"127.0.0.1:{n + 1}"} for n in range(servers)]
         self.written = {"settings": settings, "known": {"index": 1, "endpoints": self.known}}
         self.path.write_text(json.dumps(self.written))
-        read = config.read({"PROXY_CONFIG": str(self.path), "PROXY_LISTEN": "127.0.0.1:0",
-                            "PROXY_DISCOVERY": "127.0.0.9:9"})
+        read = config.read(
+            {"PROXY_CONFIG": str(self.path), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.9:9"}
+        )
         system = System()
         clock = lambda: int(self.reactor.seconds() * 1e9)  # noqa: E731
         system.monotonic = system.unix = clock  # type: ignore[method-assign]
@@ -330,12 +340,18 @@
 
     def attempts(self) -> list[Any]:
         """Return the attempts at application servers; probes and discovery are dialled on the same reactor."""
-        return [each for each in self.reactor.dialled if isinstance(each.factory, _Dial)
-                and isinstance(each.factory.link.owner, LineAttempt)]
+        return [
+            each
+            for each in self.reactor.dialled
+            if isinstance(each.factory, _Dial) and isinstance(each.factory.link.owner, LineAttempt)
+        ]
 
     def probes(self) -> list[Any]:
-        return [each for each in self.reactor.dialled if isinstance(each.factory, _Dial)
-                and isinstance(each.factory.link.owner, HealthProbe)]
+        return [
+            each
+            for each in self.reactor.dialled
+            if isinstance(each.factory, _Dial) and isinstance(each.factory.link.owner, HealthProbe)
+        ]
 
     def results(self) -> list[str]:
         """Return how the module was told that attempts ended."""
