--- a/tests/sites.py
+++ b/tests/sites.py
@@ -37,30 +37,65 @@
 
 
 def _class(name: str, aim_ms: int, deadline_ms: int, worth: float) -> dict[str, Any]:
-    return {"Name": name, "Aim": aim_ms * MS, "Deadline": deadline_ms * MS, "Worth": worth,
-            "Semantics": "repeatable", "KeyScope": "cell"}
+    return {
+        "Name": name,
+        "Aim": aim_ms * MS,
+        "Deadline": deadline_ms * MS,
+        "Worth": worth,
+        "Semantics": "repeatable",
+        "KeyScope": "cell",
+    }
 
 
-HOME = Site("home", {
-    "Classes": [_class("browse", 500, 3000, 2), _class("compare", 300, 1200, 3), _class("overlay", 300, 1200, 3),
-                _class("notes", 300, 1800, 1)],
-    "Caps": {"Probing": True, "Cancelling": True, "MaxAttempts": 6, "DialTimeout": 250 * MS, "IdleClose": 5000 * MS},
-    "Report": {"Fields": ["fail_rate", "rif", "x0"], "Via": "probe"},
-    "Discovery": "on_request", "FailureDomains": ["north", "centre", "south"], "Siblings": 3, "Weights": "rough",
-    "Specifics": {"Groups": True, "MessageAim": [150 * MS, 250 * MS, 50 * MS, 100 * MS]},
-    "Rules": {"ColdFrom": 0.3, "WarmAfter": 8900 * MS, "OverloadFactor": 3, "Fall": 1000 * MS},
-})
+HOME = Site(
+    "home",
+    {
+        "Classes": [
+            _class("browse", 500, 3000, 2),
+            _class("compare", 300, 1200, 3),
+            _class("overlay", 300, 1200, 3),
+            _class("notes", 300, 1800, 1),
+        ],
+        "Caps": {
+            "Probing": True,
+            "Cancelling": True,
+            "MaxAttempts": 6,
+            "DialTimeout": 250 * MS,
+            "IdleClose": 5000 * MS,
+        },
+        "Report": {"Fields": ["fail_rate", "rif", "x0"], "Via": "probe"},
+        "Discovery": "on_request",
+        "FailureDomains": ["north", "centre", "south"],
+        "Siblings": 3,
+        "Weights": "rough",
+        "Specifics": {"Groups": True, "MessageAim": [150 * MS, 250 * MS, 50 * MS, 100 * MS]},
+        "Rules": {"ColdFrom": 0.3, "WarmAfter": 8900 * MS, "OverloadFactor": 3, "Fall": 1000 * MS},
+    },
+)
 
-SECOND = Site("second", {
-    "Classes": [_class("guest-browse", 800, 4800, 1), _class("couple-picks", 300, 1800, 3)],
-    "Accounts": [{"Name": "owambe-frames", "AllowancePerS": 3.9}, {"Name": "ikenna-studio", "AllowancePerS": 1.1}],
-    "Caps": {"Probing": True, "Cancelling": True, "RetryAfter": True, "MaxRetryAfter": 2000 * MS, "MaxAttempts": 5,
-             "DialTimeout": 100 * MS, "IdleClose": 60_000 * MS},
-    "Report": {"Fields": ["x0", "q"], "Via": "probe"},
-    "Discovery": "pushed", "FailureDomains": ["west", "east"], "Siblings": 2, "Weights": "live",
-    "OverShareWorth": 0.1,
-    "Specifics": {"Groups": True, "MessageAim": [250 * MS, 150 * MS]},
-    "Rules": {"ColdFrom": 0.13, "WarmAfter": 24_000 * MS, "OverloadFactor": 3, "Fall": 2000 * MS},
-})
+SECOND = Site(
+    "second",
+    {
+        "Classes": [_class("guest-browse", 800, 4800, 1), _class("couple-picks", 300, 1800, 3)],
+        "Accounts": [{"Name": "owambe-frames", "AllowancePerS": 3.9}, {"Name": "ikenna-studio", "AllowancePerS": 1.1}],
+        "Caps": {
+            "Probing": True,
+            "Cancelling": True,
+            "RetryAfter": True,
+            "MaxRetryAfter": 2000 * MS,
+            "MaxAttempts": 5,
+            "DialTimeout": 100 * MS,
+            "IdleClose": 60_000 * MS,
+        },
+        "Report": {"Fields": ["x0", "q"], "Via": "probe"},
+        "Discovery": "pushed",
+        "FailureDomains": ["west", "east"],
+        "Siblings": 2,
+        "Weights": "live",
+        "OverShareWorth": 0.1,
+        "Specifics": {"Groups": True, "MessageAim": [250 * MS, 150 * MS]},
+        "Rules": {"ColdFrom": 0.13, "WarmAfter": 24_000 * MS, "OverloadFactor": 3, "Fall": 2000 * MS},
+    },
+)
 
 SITES = (HOME, SECOND)
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -35,22 +35,40 @@
 
 
 def test_time_between_a_refusal_and_the_return_at_another_relay_is_booked_to_its_rule():
-    told = lost(*starts("n0", "n1"), ask(1.0), line(1.0, "refuse", why="ladder, by rate", rung=3),
-                ask(2.5, "n1", again=False), line(2.5, "send", "n1", server="s"), line(2.52, "up", "n1", server="s"),
-                line(9.0, "out", "n1", server="s", result="ok", stood=True))
+    told = lost(
+        *starts("n0", "n1"),
+        ask(1.0),
+        line(1.0, "refuse", why="ladder, by rate", rung=3),
+        ask(2.5, "n1", again=False),
+        line(2.5, "send", "n1", server="s"),
+        line(2.52, "up", "n1", server="s"),
+        line(9.0, "out", "n1", server="s", result="ok", stood=True),
+    )
     assert told == {"refused: ladder, by rate": 3.0}, told
 
 
 def test_waiting_and_attempts_that_fail_are_told_apart():
-    told = lost(*starts("n0"), line(0.9, "report", server="s", asked=1.4, request=""), ask(1.0),
-                line(1.3, "send", server="s"), line(1.8, "out", server="s", result="timeout"),
-                line(1.8, "send", server="z"), line(1.82, "up", server="z"), line(3.0, "gone"))
+    told = lost(
+        *starts("n0"),
+        line(0.9, "report", server="s", asked=1.4, request=""),
+        ask(1.0),
+        line(1.3, "send", server="s"),
+        line(1.8, "out", server="s", result="timeout"),
+        line(1.8, "send", server="z"),
+        line(1.82, "up", server="z"),
+        line(3.0, "gone"),
+    )
     assert told == {"attempt: timeout, server asked too much": 1.0, "waiting at the relay": 0.6}, told
 
 
 def test_a_message_that_waits_and_its_answer_are_one_loss():
-    told = lost(*starts("n0"), ask(0.0, server="s"), line(1.1, "late", server="s", ms=100.0, why="waits"),
-                line(5.0, "late", server="s", ms=4000.0), line(20.0, "gone"))
+    told = lost(
+        *starts("n0"),
+        ask(0.0, server="s"),
+        line(1.1, "late", server="s", ms=100.0, why="waits"),
+        line(5.0, "late", server="s", ms=4000.0),
+        line(20.0, "gone"),
+    )
     assert told == {"late messages, server hung": 8.0}, told
 
 
@@ -62,9 +80,16 @@
 
 
 def test_connections_of_a_killed_relay_end_with_its_last_line():
-    told = lost(*starts("n0", "n1"), ask(0.0, server="s"), line(2.0, "list"),
-                *[Line(T + 5.0, "start", "n0", names=("a",), worths=(2.0,))], ask(6.0, "n1"),
-                line(6.0, "send", "n1", server="s"), line(6.01, "up", "n1", server="s"), line(7.0, "gone", "n1"))
+    told = lost(
+        *starts("n0", "n1"),
+        ask(0.0, server="s"),
+        line(2.0, "list"),
+        *[Line(T + 5.0, "start", "n0", names=("a",), worths=(2.0,))],
+        ask(6.0, "n1"),
+        line(6.0, "send", "n1", server="s"),
+        line(6.01, "up", "n1", server="s"),
+        line(7.0, "gone", "n1"),
+    )
     assert told == {"relay gone": 8.0}, told
 
 
@@ -82,18 +107,34 @@
 
 
 def test_what_can_not_be_told_is_a_line_of_its_own():
-    told = lost(*starts("n0", "n1"), ask(1.0), line(1.0, "send", server="s"), line(1.0, "up", server="s"),
-                ask(4.0, "n1"), line(4.0, "refuse", "n1", why="x"), line(4.5, "list", request=""))
+    told = lost(
+        *starts("n0", "n1"),
+        ask(1.0),
+        line(1.0, "send", server="s"),
+        line(1.0, "up", server="s"),
+        ask(4.0, "n1"),
+        line(4.0, "refuse", "n1", why="x"),
+        line(4.5, "list", request=""),
+    )
     assert told[UNKNOWN] == 6.0, told  # from its last line at 1 s until it came again at 4 s
     assert told["refused: x, never came again"] == 1.0, told
 
 
 def test_prices_and_the_storm_are_counted_over_relays():
-    lines = [*starts("n0", "n1"), ask(1.0), line(1.0, "send", server="s", far=True), line(1.0, "up", server="s"),
-             line(2.0, "move", why="asked too much"), ask(2.4, "n1", again=True), line(2.4, "send", "n1", server="z"),
-             line(2.6, "out", "n1", server="z", result="full"), line(2.6, "send", "n1", server="s"),
-             line(2.7, "up", "n1", server="s"), line(3.0, "probe", server="s", request=""),
-             line(3.0, "watch", request="")]
+    lines = [
+        *starts("n0", "n1"),
+        ask(1.0),
+        line(1.0, "send", server="s", far=True),
+        line(1.0, "up", server="s"),
+        line(2.0, "move", why="asked too much"),
+        ask(2.4, "n1", again=True),
+        line(2.4, "send", "n1", server="z"),
+        line(2.6, "out", "n1", server="z", result="full"),
+        line(2.6, "send", "n1", server="s"),
+        line(2.7, "up", "n1", server="s"),
+        line(3.0, "probe", server="s", request=""),
+        line(3.0, "watch", request=""),
+    ]
     ledger = Ledger(lines)
     p = ledger.prices
     assert (p.firsts, p.again, p.attempts, p.wasted, p.far, p.probes, p.calls) == (1, 1, 3, 1, 1, 1, 1)
@@ -101,10 +142,17 @@
 
 
 def test_the_same_lines_in_any_file_order_give_the_same_account():
-    lines = [*starts("n0", "n1"), ask(1.0), line(1.2, "refuse", why="x"), ask(3.0, "n1"),
-             line(3.1, "refuse", "n1", why="y")]
-    files = [b"".join(b"0.1 TRACE " + msgspec.json.encode(each) + b"\n" for each in lines if each.relay == relay)
-             for relay in ("n0", "n1")]
+    lines = [
+        *starts("n0", "n1"),
+        ask(1.0),
+        line(1.2, "refuse", why="x"),
+        ask(3.0, "n1"),
+        line(3.1, "refuse", "n1", why="y"),
+    ]
+    files = [
+        b"".join(b"0.1 TRACE " + msgspec.json.encode(each) + b"\n" for each in lines if each.relay == relay)
+        for relay in ("n0", "n1")
+    ]
     first, second = (reading.decode(order) for order in (files, files[::-1]))
     assert Ledger(first.lines).lost() == Ledger(second.lines).lost() != {}
 
@@ -131,8 +179,13 @@
     (tmp_path / "n0.log").write_text("INFO nothing\n")
     empty = run.invoke(app, ["lab", "account", str(tmp_path)])
     assert empty.exit_code == 2 and "PROXY_TRACE" in empty.output
-    lines = [*starts("n0"), ask(1.0), line(1.0, "send", server="s", told_ms=20.0, asked=0.4),
-             line(1.2, "refuse", why="x"), line(2.0, "list", request="")]
+    lines = [
+        *starts("n0"),
+        ask(1.0),
+        line(1.0, "send", server="s", told_ms=20.0, asked=0.4),
+        line(1.2, "refuse", why="x"),
+        line(2.0, "list", request=""),
+    ]
     (tmp_path / "n0.log").write_bytes(b"".join(b"TRACE " + msgspec.json.encode(each) + b"\n" for each in lines))
     text = run.invoke(app, ["lab", "account", str(tmp_path)])
     assert text.exit_code == 0 and "refused: x" in text.output, text.output
@@ -147,13 +200,21 @@
 
 
 def test_a_connection_at_a_server_that_any_relay_heard_is_overloaded_is_lost_time():
-    told = lost(*starts("n0", "n1"), ask(0.0, server="s"), line(3.0, "report", "n1", server="s", asked=1.6, request=""),
-                line(4.0, "report", "n1", server="s", asked=0.5, request=""),
-                line(6.0, "slow", "n1", server="s", ms=700.0, request=""),
-                line(9.0, "late", server="s", ms=1500.0), line(20.0, "gone"))
+    told = lost(
+        *starts("n0", "n1"),
+        ask(0.0, server="s"),
+        line(3.0, "report", "n1", server="s", asked=1.6, request=""),
+        line(4.0, "report", "n1", server="s", asked=0.5, request=""),
+        line(6.0, "slow", "n1", server="s", ms=700.0, request=""),
+        line(9.0, "late", server="s", ms=1500.0),
+        line(20.0, "gone"),
+    )
     # From 8 to 9.5 s the late message takes over from the note, which is told for 2 s.
-    assert told == {"standing at a server slow": 4.0, "late messages, server with room": 3.0,
-                    "standing at a server asked too much": 2.0}, told
+    assert told == {
+        "standing at a server slow": 4.0,
+        "late messages, server with room": 3.0,
+        "standing at a server asked too much": 2.0,
+    }, told
 
 
 def test_a_trace_that_can_not_be_written_ends_and_takes_nothing_along():
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -15,8 +15,16 @@
 
 MOST = 100
 OWED = 3.0  # seconds from its connecting in which a bad client is answered or closed
-BAD = (b"frob 1\r\n", b"OPEN 1 2 c=none,d=5\r\n", b"OPEN 1 2 c=browse,d=nan\r\n", b"OPEN 1", b"\xff\x00", b"",
-       b"x" * 5000, b"PING\r\n" * 99)
+BAD = (
+    b"frob 1\r\n",
+    b"OPEN 1 2 c=none,d=5\r\n",
+    b"OPEN 1 2 c=browse,d=nan\r\n",
+    b"OPEN 1",
+    b"\xff\x00",
+    b"",
+    b"x" * 5000,
+    b"PING\r\n" * 99,
+)
 
 
 @dataclass
@@ -88,7 +96,7 @@
         line = b"OPEN a%d 7f3a c=browse,d=80000000\r\n" % self.ids
         wire = self.bench.client()
         for at in range(0, len(line), 2):
-            wire.receive(line[at:at + 2])
+            wire.receive(line[at : at + 2])
             assert not wire.closing, "a client that writes had to give way"
             self.bad_clients_come(1 + crowd // 4, says)
             self.bench.reactor.advance(0.1)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -44,23 +44,28 @@
     return int(since_ms * MS) - 4_000_000 * MS
 
 
-@pytest.mark.parametrize(("lists", "started", "line"), [
-    ([[COLD], [COLD]], COLD, ""),
-    ([[BACK], [COLD]], COLD, ""),  # a restart
-    ([[COLD], [BACK]], COLD, "since_ms back from 4999000 to 4990000"),
-    ([[COLD], [BACK], [BACK], [COLD]], COLD, "since_ms back"),
-    ([[COLD], [0]], COLD, ""),  # by now it is long ago
-    ([[0], [COLD], [0]], COLD, ""),
-    ([[COLD], [], [], [0]], COLD, ""), ([[COLD], [], [BACK]], COLD, "since_ms back"),  # it was not listed meanwhile
-    ([[BACK], [-7]], BACK, "since_ms -7"),
-    ([[-7]], NOW * 1000, "since_ms -7"),  # when it was first heard of
-    ([[NOW * 1000 + 900], [NOW * 1000 + 900]], NOW * 1000, ""),  # two clocks that differ
-    ([[NOW * 1000 + 9000]], NOW * 1000, "9.0 s ahead"),
-    ([[NOW * 1000 + 9000]] * 12, NOW * 1000, "9.0 s ahead"),  # also once that moment has come
-    ([[BACK], [1e300]], NOW * 1000 + 1000, "ahead"),
-    ([[NOW * 1000 + 9000], [COLD]], NOW * 1000, "ahead"),
-    ([[BACK, COLD]], COLD, "named twice"), ([[COLD, BACK]], COLD, "named twice"),
-])
+@pytest.mark.parametrize(
+    ("lists", "started", "line"),
+    [
+        ([[COLD], [COLD]], COLD, ""),
+        ([[BACK], [COLD]], COLD, ""),  # a restart
+        ([[COLD], [BACK]], COLD, "since_ms back from 4999000 to 4990000"),
+        ([[COLD], [BACK], [BACK], [COLD]], COLD, "since_ms back"),
+        ([[COLD], [0]], COLD, ""),  # by now it is long ago
+        ([[0], [COLD], [0]], COLD, ""),
+        ([[COLD], [], [], [0]], COLD, ""),
+        ([[COLD], [], [BACK]], COLD, "since_ms back"),  # it was not listed meanwhile
+        ([[BACK], [-7]], BACK, "since_ms -7"),
+        ([[-7]], NOW * 1000, "since_ms -7"),  # when it was first heard of
+        ([[NOW * 1000 + 900], [NOW * 1000 + 900]], NOW * 1000, ""),  # two clocks that differ
+        ([[NOW * 1000 + 9000]], NOW * 1000, "9.0 s ahead"),
+        ([[NOW * 1000 + 9000]] * 12, NOW * 1000, "9.0 s ahead"),  # also once that moment has come
+        ([[BACK], [1e300]], NOW * 1000 + 1000, "ahead"),
+        ([[NOW * 1000 + 9000], [COLD]], NOW * 1000, "ahead"),
+        ([[BACK, COLD]], COLD, "named twice"),
+        ([[COLD, BACK]], COLD, "named twice"),
+    ],
+)
 def test_a_server_is_as_cold_as_any_list_has_told(caplog, lists, started, line):
     # Guards against a cold server taken for a warm one, or ranked before all others by an age below 0.
     caplog.set_level(logging.INFO)
@@ -73,13 +78,19 @@
     assert len(lines) == bool(line) and all(line in each for each in lines), lines
 
 
-@pytest.mark.parametrize(("entries", "state", "started"), [
-    ([("active", 0), ("leaving", 0)], DRAINING, 0), ([("leaving", 0), ("active", 0)], DRAINING, 0),
-    ([("left", 0), ("leaving", 0), ("active", 0)], GONE, 0), ([("active", BACK), ("active", BACK)], LIVE, BACK),
-    ([("left", 0), ("active", COLD)], LIVE, COLD),  # it ended and came back
-    ([("leaving", BACK), ("active", COLD)], LIVE, COLD), ([("active", COLD), ("leaving", BACK)], DRAINING, COLD),
-    ([("active", COLD), ("active", BACK)], LIVE, COLD),
-])
+@pytest.mark.parametrize(
+    ("entries", "state", "started"),
+    [
+        ([("active", 0), ("leaving", 0)], DRAINING, 0),
+        ([("leaving", 0), ("active", 0)], DRAINING, 0),
+        ([("left", 0), ("leaving", 0), ("active", 0)], GONE, 0),
+        ([("active", BACK), ("active", BACK)], LIVE, BACK),
+        ([("left", 0), ("active", COLD)], LIVE, COLD),  # it ended and came back
+        ([("leaving", BACK), ("active", COLD)], LIVE, COLD),
+        ([("active", COLD), ("leaving", BACK)], DRAINING, COLD),
+        ([("active", COLD), ("active", BACK)], LIVE, COLD),
+    ],
+)
 def test_a_server_named_twice_in_a_list_is_as_far_on_its_way_out_as_its_process_is(caplog, entries, state, started):
     # Guards against a server to which clients go though the same list tells that it drains.
     known = Lists()
@@ -122,18 +133,32 @@
     assert len(lines) == 3 and all(f"and {MOST - NAMED} more" in line for line in lines)
 
 
-REPORTS = api.Settings(classes=(api.RequestClass(aim=1, deadline=1),), may_probe=True, report_source=api.Source.PROBES,
-                       report_fields=(api.Field.OTHER, api.Field.INFLIGHT, api.Field.UTILISATION))
-
-
-@pytest.mark.parametrize(("words", "good"), [
-    ("eps=0,inflight=7,util=0.5", True), ("eps=0,inflight=7,util=99.5", True),
-    ("inflight=7,util=0.61,eps=0,new=1", True),
-    ("eps=0,inflight=7,util=-0.01", False), ("eps=0,inflight=-1,util=0.5", False), ("eps=-3,inflight=7,util=1", False),
-    ("eps=0,inflight=7,util=100.5", False), ("eps=0,inflight=2e9,util=0.5", False),
-    *((f"eps=0,inflight=7,util={odd}", False) for odd in ("nan", "inf", "-inf", "1e400", "", "x", "0.5 0.6", "½")),
-    ("eps=0,inflight=nan,util=0.5", False), ("eps=0,inflight=7,util=0.5,util=0.9", False),
-    ("eps=0,inflight=7", False), ("", False)])
+REPORTS = api.Settings(
+    classes=(api.RequestClass(aim=1, deadline=1),),
+    may_probe=True,
+    report_source=api.Source.PROBES,
+    report_fields=(api.Field.OTHER, api.Field.INFLIGHT, api.Field.UTILISATION),
+)
+
+
+@pytest.mark.parametrize(
+    ("words", "good"),
+    [
+        ("eps=0,inflight=7,util=0.5", True),
+        ("eps=0,inflight=7,util=99.5", True),
+        ("inflight=7,util=0.61,eps=0,new=1", True),
+        ("eps=0,inflight=7,util=-0.01", False),
+        ("eps=0,inflight=-1,util=0.5", False),
+        ("eps=-3,inflight=7,util=1", False),
+        ("eps=0,inflight=7,util=100.5", False),
+        ("eps=0,inflight=2e9,util=0.5", False),
+        *((f"eps=0,inflight=7,util={odd}", False) for odd in ("nan", "inf", "-inf", "1e400", "", "x", "0.5 0.6", "½")),
+        ("eps=0,inflight=nan,util=0.5", False),
+        ("eps=0,inflight=7,util=0.5,util=0.9", False),
+        ("eps=0,inflight=7", False),
+        ("", False),
+    ],
+)
 @pytest.mark.parametrize("how", ["probe", "answer"])
 def test_a_load_report_that_cannot_be_leaves_the_last_good_one(caplog, how, words, good):
     # Guards against a server that looks idle, or that is passed over for seconds, by one value that is no such value.
@@ -189,8 +214,10 @@
     assert [each.amount for each in bench.module.of(api.Note)][-1] == 900
 
 
-@pytest.mark.parametrize(("siblings", "me", "taken"), [
-    (3, 2, 3), (3, 3, 4), (3, 40, 41), (0, 0, 1), (-2, 1, 2), (0.5, 0, 1), (1024, 1023, 1024)])
+@pytest.mark.parametrize(
+    ("siblings", "me", "taken"),
+    [(3, 2, 3), (3, 3, 4), (3, 40, 41), (0, 0, 1), (-2, 1, 2), (0.5, 0, 1), (1024, 1023, 1024)],
+)
 def test_siblings_are_no_fewer_than_this_relays_own_number_shows(tmp_path: Path, caplog, siblings, me, taken):
     # Guards against a relay that takes more than its part of what all may send a cold server, or that can't start.
     path = tmp_path / "c.json"
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -15,8 +15,13 @@
 from scaledeal.policy import Balancer, Server, digest, mixed, rendezvous
 from scaledeal.settings import Document
 
-REPORTS = replace(BASE, may_probe=True, report_source=api.Source.PROBES, groups=True,
-                  report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT))
+REPORTS = replace(
+    BASE,
+    may_probe=True,
+    report_source=api.Source.PROBES,
+    groups=True,
+    report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT),
+)
 
 
 def ranking(key: str, names: list[str]) -> list[str]:
@@ -314,9 +319,13 @@
 
 def test_unknown_things_are_ignored_and_time_may_not_go_back():
     driver = Driver()
-    for event in (api.Established("x", 0, "s0", 1), api.Outcome("x", 0, "s0", api.Result.OK, 1, True),
-                  api.Note("x", 0, "s9", api.NoteKind.LOAD, 1.0), api.ProbeResult("s9", api.Result.OK, 1),
-                  api.ClientGone("x")):
+    for event in (
+        api.Established("x", 0, "s0", 1),
+        api.Outcome("x", 0, "s0", api.Result.OK, 1, True),
+        api.Note("x", 0, "s9", api.NoteKind.LOAD, 1.0),
+        api.ProbeResult("s9", api.Result.OK, 1),
+        api.ClientGone("x"),
+    ):
         assert driver.balancer.handle(driver.now, event) == []
     with pytest.raises(ValueError, match="now"):
         driver.balancer.handle(driver.now - 1, api.ClientGone("x"))
@@ -599,8 +608,10 @@
     # went unread in placing and a server that had just started was left idle until it was warm.
     settings = msgspec.convert(site.settings, Document, strict=False).settings()
     driver = Driver(settings)
-    told = tuple({api.Field.UTILISATION: 0.5, api.Field.INFLIGHT: 10.0 * settings.siblings}.get(f, 0.0)
-                 for f in settings.report_fields)
+    told = tuple(
+        {api.Field.UTILISATION: 0.5, api.Field.INFLIGHT: 10.0 * settings.siblings}.get(f, 0.0)
+        for f in settings.report_fields
+    )
     for server in driver.list:
         standing(driver, server, 10)
         driver.event(api.ProbeResult(server, api.Result.OK, MS, told))
@@ -618,8 +629,9 @@
     assert got >= 5, f"{got} of 200 went to the newcomer while it was cold"
 
 
-@pytest.mark.parametrize(("asked", "newcomer", "stays"), [
-    (0.95, False, True), (1.15, False, False), (0.95, True, False)])
+@pytest.mark.parametrize(
+    ("asked", "newcomer", "stays"), [(0.95, False, True), (1.15, False, False), (0.95, True, False)]
+)
 def test_a_group_keeps_to_its_server_up_to_a_bound_over_the_mean(asked: float, newcomer: bool, stays: bool):
     # Guards against groups scattered over all servers where all are asked much: each pair of group and server costs;
     # and against groups kept at hot servers while one that has just started has room.
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -15,9 +15,17 @@
 
 HOLDS = 100.0  # connections that fill a server
 ASKED = 0.7
-SITE = replace(BASE, may_probe=True, report_source=api.Source.PROBES, probe_price=0.0029, cold_share=0.3,
-               report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT), warm_after=9 * SECOND, overload_factor=3.0,
-               overload_window=SECOND)
+SITE = replace(
+    BASE,
+    may_probe=True,
+    report_source=api.Source.PROBES,
+    probe_price=0.0029,
+    cold_share=0.3,
+    report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT),
+    warm_after=9 * SECOND,
+    overload_factor=3.0,
+    overload_window=SECOND,
+)
 COSTS = (1.6, 0.7)  # of a call of each class, over the mean of those that come: a third are of the first
 
 
@@ -106,8 +114,14 @@
 
     def worst(self) -> float:
         """Return the fullest window of a second at one newcomer, over what the rule bears then."""
-        return max((sum(cost for before, cost in sends if at - SECOND < before <= at) / bears(at)
-                    for sends in self.sends.values() for at, _ in sends), default=0.0)
+        return max(
+            (
+                sum(cost for before, cost in sends if at - SECOND < before <= at) / bears(at)
+                for sends in self.sends.values()
+                for at, _ in sends
+            ),
+            default=0.0,
+        )
 
     def used(self) -> float:
         """Return what the newcomers got in the first second, over their budget."""
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -39,6 +39,7 @@
 
 # A server that is killed just behind its accept
 
+
 def resets(wire: Wire) -> None:
     wire.lose(error.ConnectionLost())
 
@@ -104,11 +105,18 @@
 
 # A request in pieces, and in every form
 
-OPENS = [b"OPEN %s" % each for each in (
-    b"9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=browse,d=2000,g=5c0f6e1a2b3d4c59",
-    b"1 k d=2000,c=browse", b"1 k g=,d=2000,c=browse", b"1 k h=812.5,c=browse,d=2000,t=acme,r=1",
-    b"1 k c=browse,t=0,d=2000,again=1,h=1e-05,cost=3.5,key=a=b,word=x", b"1 k c=browse,d=2000,at=a,h=0",
-    b"1 k dd=7,c=browse,d=2000,d2=9")]
+OPENS = [
+    b"OPEN %s" % each
+    for each in (
+        b"9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=browse,d=2000,g=5c0f6e1a2b3d4c59",
+        b"1 k d=2000,c=browse",
+        b"1 k g=,d=2000,c=browse",
+        b"1 k h=812.5,c=browse,d=2000,t=acme,r=1",
+        b"1 k c=browse,t=0,d=2000,again=1,h=1e-05,cost=3.5,key=a=b,word=x",
+        b"1 k c=browse,d=2000,at=a,h=0",
+        b"1 k dd=7,c=browse,d=2000,d2=9",
+    )
+]
 
 
 def sent_on(bench: Bench) -> bytes:
@@ -133,7 +141,7 @@
         assert client.lines() == [b"PONG"] and len(bench.driver.transactions) == 1, f"cut at {cut}"
         head, _, tail = line.partition(b",d=" if b",d=" in line else b" d=")
         got = sent_on(bench)
-        told = got[len(head) + 3:].split(b",", 1)[0].strip()
+        told = got[len(head) + 3 :].split(b",", 1)[0].strip()
         assert 1 <= int(told) <= 2000 and got == line.replace(b"d=2000", b"d=" + told) + b"\r\n", f"cut at {cut}"
         assert head in got and tail.partition(b",")[2] in got
         asked = bench.module.of(api.Request)
@@ -168,6 +176,7 @@
 
 # A final answer in time, in every state of a request
 
+
 def up(one: OneRelay, write: int = LINE) -> list[Wire]:
     """Bring every attempt up, with so many bytes of its line written once; return those that are up."""
     for each in one.attempts():
@@ -287,6 +296,7 @@
 
 # Connections that the relay closes before an answer
 
+
 def test_a_line_too_long_behind_a_request_leaves_it_its_answer() -> None:
     # Guards against a request that is reset away because of what came behind it.
     bench = Bench()
@@ -325,7 +335,7 @@
     clients = [bench.client() for _ in range(40)]
     for number, each in enumerate(clients):
         each.receive(b"OPEN %x k c=browse,d=2000\r\n" % number)
-        for asked in bench.module.of(api.Request)[len(bench.reactor.dialled):]:
+        for asked in bench.module.of(api.Request)[len(bench.reactor.dialled) :]:
             bench.act(api.Send(asked.request, "a", 0))
     held = sum(not each.lost for each in clients) + len(bench.reactor.dialled)
     assert held <= 40 + CLOSING and len(bench.reactor.dialled) >= 20 - CLOSING
@@ -381,6 +391,7 @@
     import socket
 
     from scaledeal.net.monotonic_reactor import MonotonicReactor
+
     reactor: Any = cast(Any, MonotonicReactor)()
     bench = Bench()
     bench.driver.leaving = True
@@ -405,6 +416,7 @@
 
 # SIGHUP, and descriptors that run out
 
+
 def script(folder: Path, reload_at: int) -> tuple[list[list[bytes]], list[str]]:
     """Play clients in every stage, with a new discovery named at one step; return what they and the servers heard."""
     one = OneRelay(folder, 1, site())
@@ -450,6 +462,7 @@
 def raises(one: OneRelay) -> Callable[..., Dialled]:
     def connect(*_: Any, **__: Any) -> Dialled:
         raise OSError(errno.EMFILE, "Too many open files")
+
     return connect
 
 
@@ -463,13 +476,15 @@
         failure = Failure(error.ConnectBindError(errno.EMFILE, "Too many open files"))
         one.reactor.callLater(0, made.factory.clientConnectionFailed, made, failure)
         return made
+
     return connect
 
 
 @pytest.mark.parametrize("how", [raises, tells])
 @pytest.mark.parametrize("effect", ["repeatable", "once"])
-def test_a_dial_without_a_descriptor_is_no_fault_of_a_server(tmp_path: Path, how: Callable[..., Any],
-                                                             effect: str) -> None:
+def test_a_dial_without_a_descriptor_is_no_fault_of_a_server(
+    tmp_path: Path, how: Callable[..., Any], effect: str
+) -> None:
     # Guards against servers suspected one by one, a window that shrinks for good and requests held to their deadline,
     # because this process has no descriptor left for a moment.
     one = OneRelay(tmp_path, 3, site(effect, Probing=True))
@@ -490,7 +505,8 @@
 @pytest.mark.parametrize("listed", [False, True])
 @pytest.mark.parametrize("address", ["10.1.0.18", "10.1.0.18:", "10.1.0.18:port", ":", "10.1.0.18:66000"])
 def test_an_address_that_is_none_holds_no_request_and_keeps_no_relay_idle(
-        tmp_path: Path, address: str, listed: bool, caplog: pytest.LogCaptureFixture) -> None:
+    tmp_path: Path, address: str, listed: bool, caplog: pytest.LogCaptureFixture
+) -> None:
     # Guards against attempts of which no end is told: the module waits for them for ever, and sends nothing more.
     one = OneRelay(tmp_path, 2, site())
     new = api.Membership(api.MembershipKind.CHANGES, (api.ServerEntry("s9"),))
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -14,8 +14,15 @@
 
 GRACE = 1.0  # seconds that a drain leaves, as the relay's settings say
 WINDOW = GRACE + 0.05  # the rule on sockets
-CROSSINGS = ("a watch is out", "a list call is out", "half an answer has come", "a call has fallen silent",
-             "discovery refuses", "discovery can't be reached", "an answer was not understood")
+CROSSINGS = (
+    "a watch is out",
+    "a list call is out",
+    "half an answer has come",
+    "a call has fallen silent",
+    "discovery refuses",
+    "discovery can't be reached",
+    "an answer was not understood",
+)
 
 
 def crossed(one: OneRelay, crossing: str) -> None:
@@ -46,7 +53,8 @@
 @pytest.mark.parametrize("crossing", CROSSINGS)
 @pytest.mark.parametrize("pushed", [True, False])
 def test_after_a_reload_the_new_discovery_alone_counts_whatever_was_out_at_the_old(
-        monkeypatch, tmp_path: Path, pushed: bool, crossing: str, index: int) -> None:
+    monkeypatch, tmp_path: Path, pushed: bool, crossing: str, index: int
+) -> None:
     # Guards against an old discovery's late answer after the new one's list, and against its version asked for there.
     one = OneRelay(monkeypatch, tmp_path, pushed)
     one.run(2)
@@ -84,13 +92,17 @@
     one.run(0.2)
     module = one.relay.driver.balancer
     assert one.relay.discovery.index == 1 and [module.cold(module.servers[each]) for each in ("s1", "s2", "s3")] == [
-        False, True, True]
+        False,
+        True,
+        True,
+    ]
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("mode", ["silent", "refuses", "unreachable"])
 def test_a_new_discovery_that_is_away_at_the_reload_is_heard_of_in_time_once_it_is_back(
-        monkeypatch, tmp_path: Path, pushed: bool, mode: str) -> None:
+    monkeypatch, tmp_path: Path, pushed: bool, mode: str
+) -> None:
     # Guards against a call that an agent's silence holds longer than the drain's grace: 1.2 s it was.
     latest = 0.0
     for call in range(1, 12):  # it comes back just after that call to it began, the longest before the next
@@ -117,7 +129,8 @@
 @pytest.mark.parametrize("wait", [0.0, 0.1])
 @pytest.mark.parametrize("row", [(NEW, THIRD), (NEW, OLD), (NEW, OLD, NEW), (OLD,)])
 def test_of_several_reloads_in_a_row_the_last_counts(
-        monkeypatch, tmp_path: Path, pushed: bool, wait: float, row: tuple[str, ...]) -> None:
+    monkeypatch, tmp_path: Path, pushed: bool, wait: float, row: tuple[str, ...]
+) -> None:
     one = OneRelay(monkeypatch, tmp_path, pushed)
     one.run(1)
     states = {OLD: "s3", NEW: "s4", THIRD: "s5"}
@@ -135,10 +148,19 @@
     assert out == [row[-1]], "a call is still out elsewhere"
 
 
-@pytest.mark.parametrize("text", ["{", '{"more":' + "[" * 200_000, "\udcff", *(
-    f"discovery {odd}" for odd in ("here", "a b:1", "h/x:1", "é:1", "h:70000", ":1")), None])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "{",
+        '{"more":' + "[" * 200_000,
+        "\udcff",
+        *(f"discovery {odd}" for odd in ("here", "a b:1", "h/x:1", "é:1", "h:70000", ":1")),
+        None,
+    ],
+)
 def test_a_file_that_cannot_be_taken_leaves_the_watch_that_is_out(
-        monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, text: str | None) -> None:
+    monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, text: str | None
+) -> None:
     # Guards against an address that no call can be made to, for which the watch that is out was ended.
     one = OneRelay(monkeypatch, tmp_path, False)
     one.run(3)
@@ -151,7 +173,7 @@
     else:
         one.path.write_bytes(text.encode("utf-8", "surrogateescape"))
         one.relay.reload()
-    told, = (each.getMessage() for each in caplog.records)
+    (told,) = (each.getMessage() for each in caplog.records)
     assert told.startswith("configuration not taken") and "classes" not in told, told
     assert len(one.old.calls) == calls and not one.old.wires[-1].lost
     one.old.now_has(s0="leaving")
@@ -161,7 +183,8 @@
 
 @pytest.mark.parametrize("pushed", [True, False])
 def test_a_reload_before_the_list_of_the_start_has_been_told_goes_before_it(
-        monkeypatch, tmp_path: Path, pushed: bool) -> None:
+    monkeypatch, tmp_path: Path, pushed: bool
+) -> None:
     # Guards against the file's list, and its version, taken after what the new discovery said: while a start waits for
     # the process that serves.
     one = OneRelay(monkeypatch, tmp_path, pushed, start=False)
@@ -176,7 +199,8 @@
 
 @pytest.mark.parametrize(("step", "chunked", "indent"), list(product([1, 7, 0], [True, False], [None, 2])))
 def test_a_whole_list_on_a_watch_is_read_in_any_form(
-        monkeypatch, tmp_path: Path, step: int, chunked: bool, indent: int | None) -> None:
+    monkeypatch, tmp_path: Path, step: int, chunked: bool, indent: int | None
+) -> None:
     # Guards against a list cut where a piece ends, and against a server that a whole list lacks taken for a live one.
     one = OneRelay(monkeypatch, tmp_path, False)
     one.run(2)
@@ -204,7 +228,8 @@
 @pytest.mark.parametrize("told", ["a reload", "a whole list without it", "a change"])
 @pytest.mark.parametrize("pushed", [True, False])
 def test_a_connect_that_is_out_as_its_server_drains_is_withdrawn(
-        monkeypatch, tmp_path: Path, pushed: bool, told: str) -> None:
+    monkeypatch, tmp_path: Path, pushed: bool, told: str
+) -> None:
     # Guards against a first line that is written after the drain counts as told: its connect had begun before.
     one = OneRelay(monkeypatch, tmp_path, pushed)
     one.run(3)
@@ -237,14 +262,17 @@
     assert one.state("s0") == "draining" and one.old.calls[-1].query == "" and one.relay.discovery.index is None
 
 
-ENDLESS = {"many lines": (b"HTTP/1.1 200 OK\r\n", b"x-more: " + b"y" * 1000 + b"\r\n"),
-           "one line": (b"HTTP/1.1 200 OK\r\n", b"y" * 1000),
-           "other answers before it": (b"", b"HTTP/1.1 102 Wait\r\nx: y\r\n\r\n" * 40)}
+ENDLESS = {
+    "many lines": (b"HTTP/1.1 200 OK\r\n", b"x-more: " + b"y" * 1000 + b"\r\n"),
+    "one line": (b"HTTP/1.1 200 OK\r\n", b"y" * 1000),
+    "other answers before it": (b"", b"HTTP/1.1 102 Wait\r\nx: y\r\n\r\n" * 40),
+}
 
 
 @pytest.mark.parametrize("kind", ENDLESS)
 def test_an_endless_header_is_bounded_in_bytes(
-        monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, kind: str) -> None:
+    monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, kind: str
+) -> None:
     # Guards against a header that fills the memory up to the end of its call's time.
     caplog.set_level(logging.INFO)
     one = OneRelay(monkeypatch, tmp_path, False)
@@ -266,7 +294,7 @@
         while len(one.old.calls) == calls and one.net.seconds() < 1020:
             one.run(0.1)
     assert one.relay.discovery.times.missed == 2
-    lines = [each.message for each in caplog.records if each.name == "scaledeal.discovery"][len(told):]
+    lines = [each.message for each in caplog.records if each.name == "scaledeal.discovery"][len(told) :]
     assert len(lines) == 1, lines
     if kind != "one line":
         assert TOO_LONG in lines[0] and one.relay.driver.balancer.watch_failures == 0, "discovery is there"
@@ -286,10 +314,12 @@
     assert one.state("s0") == "draining"
 
 
-@pytest.mark.parametrize("body", [b'{"index":9,"x":' + b"[" * 200_000,
-                                  b'{"index":9,"endpoints":[{"name":"s0","since_ms":1e400}]}'])
+@pytest.mark.parametrize(
+    "body", [b'{"index":9,"x":' + b"[" * 200_000, b'{"index":9,"endpoints":[{"name":"s0","since_ms":1e400}]}']
+)
 def test_an_answer_that_cannot_be_decoded_is_asked_for_again(
-        monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, body: bytes) -> None:
+    monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, body: bytes
+) -> None:
     one = OneRelay(monkeypatch, tmp_path, False)
     one.run(2)
     one.old.calls[-1].say(body)
@@ -299,10 +329,20 @@
     assert one.state("s0") == "draining" and one.relay.discovery.index == 9
 
 
-@pytest.mark.parametrize("odd", [b'{"name":"s1","status":"gone"}', b'{"name":"s1","since_ms":null}', b'{"name":7}',
-                                 b'{"name":"s1","weight":"much"}', b'{"status":"left"}', b"7"])
+@pytest.mark.parametrize(
+    "odd",
+    [
+        b'{"name":"s1","status":"gone"}',
+        b'{"name":"s1","since_ms":null}',
+        b'{"name":7}',
+        b'{"name":"s1","weight":"much"}',
+        b'{"status":"left"}',
+        b"7",
+    ],
+)
 def test_an_entry_that_cannot_be_read_hides_no_other(
-        monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, odd: bytes) -> None:
+    monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, odd: bytes
+) -> None:
     # Guards against one such entry that keeps a whole fleet from hearing of drains, for as long as it is listed.
     one = OneRelay(monkeypatch, tmp_path, False)
     one.run(2)
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -108,8 +108,15 @@
 
 
 class Fleet:
-    def __init__(self, monkeypatch: pytest.MonkeyPatch, pushed: bool, all_call: float, queue: float,
-                 relays: int = RELAYS, step: float = 0.0) -> None:
+    def __init__(
+        self,
+        monkeypatch: pytest.MonkeyPatch,
+        pushed: bool,
+        all_call: float,
+        queue: float,
+        relays: int = RELAYS,
+        step: float = 0.0,
+    ) -> None:
         monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
         self.clock = Clock()
         self.clock.advance(1000)
@@ -118,8 +125,9 @@
         self.watches = [self.relay(number, relays, pushed, step) for number in range(relays)]
 
     def relay(self, me: int, relays: int, pushed: bool, step: float) -> discovery_watch.DiscoveryWatch:
-        settings = api.Settings(classes=(api.RequestClass(aim=1, deadline=1),), siblings=RELAYS, me=me,
-                                ask_discovery=not pushed)
+        settings = api.Settings(
+            classes=(api.RequestClass(aim=1, deadline=1),), siblings=RELAYS, me=me, ask_discovery=not pushed
+        )
         driver = Driver(self.clock, settings, me, Figures(("c",)), lambda: int(self.clock.seconds() * 1e9))
 
         def listed(event: api.Membership, addresses: dict[str, str]) -> None:
@@ -136,10 +144,18 @@
         return made
 
     def watch(self, me: int, pushed: bool, tell: discovery_watch.Tell) -> discovery_watch.DiscoveryWatch:
-        made = discovery_watch.DiscoveryWatch(self.clock, "h", 1, Catalog((), Calendar(0)), tell,  # type: ignore[arg-type]
-                         WatchTimes(pushed, ASK_WITHIN, GRACE, me * GOLDEN % 1), self.clock.seconds)
-        made.agent = SimpleNamespace(request=lambda _, url: self.discovery.request(
-            me, url.decode().partition("members")[2]))
+        made = discovery_watch.DiscoveryWatch(
+            self.clock,
+            "h",
+            1,
+            Catalog((), Calendar(0)),
+            tell,  # type: ignore[arg-type]
+            WatchTimes(pushed, ASK_WITHIN, GRACE, me * GOLDEN % 1),
+            self.clock.seconds,
+        )
+        made.agent = SimpleNamespace(
+            request=lambda _, url: self.discovery.request(me, url.decode().partition("members")[2])
+        )
         return made
 
     def reload(self, pushed: bool) -> None:
@@ -190,7 +206,8 @@
 
 @pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (30, 6.0, 3.0), (230, 5.6, 1.0)])
 def test_what_discovery_had_is_heard_of_in_time_though_every_watch_fell_silent_just_before(
-        monkeypatch, relays, all_call, queue):
+    monkeypatch, relays, all_call, queue
+):
     # Guards against a wait longer than the age at which a change counts as told: it was up to 14 s.
     fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
     fleet.discovery.silence()
@@ -232,14 +249,17 @@
 
 @pytest.mark.parametrize("moment", ["13 s in", "in the last moment of a wait", "as a wait begins"])
 @pytest.mark.parametrize("then", ["answers", "refused", "silent"])
-@pytest.mark.parametrize("pushed,relays,all_call,queue", [
-    (True, 5, 0.0, 0.0), (False, 6, 4.6, 3.0), (False, 40, 6.0, 1.0)])
-def test_all_hear_in_time_where_watches_fall_silent_late(
-        monkeypatch, pushed, relays, all_call, queue, then, moment):
+@pytest.mark.parametrize(
+    "pushed,relays,all_call,queue", [(True, 5, 0.0, 0.0), (False, 6, 4.6, 3.0), (False, 40, 6.0, 1.0)]
+)
+def test_all_hear_in_time_where_watches_fall_silent_late(monkeypatch, pushed, relays, all_call, queue, then, moment):
     # Guards against a watch whose silence is noticed only after its next wait, and against a call that makes good for
     # it lost as well: discovery or the agent is away for the 3 s that follow.
-    fleet = Fleet(monkeypatch, True, 0.0, 0.0, relays) if pushed else started(
-        monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
+    fleet = (
+        Fleet(monkeypatch, True, 0.0, 0.0, relays)
+        if pushed
+        else started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
+    )
     fleet.run(1000 + 13 - fleet.clock.seconds() if fleet.clock.seconds() < 1013 else 13)
     if moment != "13 s in":
         _, start, waits = min(fleet.discovery.open.values(), key=lambda call: call[1] + call[2])
@@ -260,7 +280,8 @@
 
 @pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
 def test_a_fleet_that_is_told_of_another_discovery_in_one_moment_hears_of_drains_there_in_time(
-        monkeypatch, relays, all_call, queue):
+    monkeypatch, relays, all_call, queue
+):
     fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
     fleet.reload(False)
     fleet.discovery.drain()
@@ -303,9 +324,15 @@
         assert max(fleet.late.values()) - first_told <= WINDOW, f"away for {away} s"
 
 
-@pytest.mark.parametrize("body,why", [
-    (b'{"index":5,"endpoi', "truncated"), (b'{"index":5,"endpoints":[{"name":"s","status":"gone"}]}', "status"),
-    (b'{"index":5,"endpoints":[{"name":7}]}', "endpoints"), (None, "did not end")])
+@pytest.mark.parametrize(
+    "body,why",
+    [
+        (b'{"index":5,"endpoi', "truncated"),
+        (b'{"index":5,"endpoints":[{"name":"s","status":"gone"}]}', "status"),
+        (b'{"index":5,"endpoints":[{"name":7}]}', "endpoints"),
+        (None, "did not end"),
+    ],
+)
 def test_a_bad_answer_is_told_and_the_list_stays_and_is_asked_for_again(monkeypatch, caplog, body, why):
     # Guards against an answer cut short, malformed or without an end: told with its place, and asked for again.
     caplog.set_level(logging.WARNING)
@@ -343,8 +370,14 @@
     # Guards against a list that is read for ever: into the memory, or in place of the next call.
     clock, out, told = Clock(), [], []
     made = discovery_watch.DiscoveryWatch(
-        clock, "h", 1, Catalog((), Calendar(0)), lambda event, _: told.append(event.kind),  # type: ignore[arg-type]
-        WatchTimes(False, ASK_WITHIN, GRACE, 0.3), clock.seconds)
+        clock,
+        "h",
+        1,
+        Catalog((), Calendar(0)),
+        lambda event, _: told.append(event.kind),  # type: ignore[arg-type]
+        WatchTimes(False, ASK_WITHIN, GRACE, 0.3),
+        clock.seconds,
+    )
     calls = iter([Deferred(lambda _: None) for _ in range(9)])
     made.agent = SimpleNamespace(request=lambda *_: out.append(call := next(calls)) or call)
     made.watch()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,9 +14,18 @@
 
 MANY = 40
 HOLDS = 40.0  # connections that fill a warm server
-SITE = replace(BASE, siblings=MANY, may_probe=True, report_source=api.Source.PROBES, probe_price=0.0029,
-               report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT), cold_share=0.3, warm_after=9 * SECOND,
-               overload_factor=3.0, overload_window=SECOND)
+SITE = replace(
+    BASE,
+    siblings=MANY,
+    may_probe=True,
+    report_source=api.Source.PROBES,
+    probe_price=0.0029,
+    report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT),
+    cold_share=0.3,
+    warm_after=9 * SECOND,
+    overload_factor=3.0,
+    overload_window=SECOND,
+)
 
 
 def fleet(settings: api.Settings = SITE, count: int = MANY, **more: int) -> list[Driver]:
@@ -56,8 +65,12 @@
             if driver.out():
                 driver.establish(driver.out()[0])
             driver.wait(step)
-    return sorted((at - start, 1) for driver in drivers for at, action in driver.seen
-                  if isinstance(action, api.Send) and action.server == "new")
+    return sorted(
+        (at - start, 1)
+        for driver in drivers
+        for at, action in driver.seen
+        if isinstance(action, api.Send) and action.server == "new"
+    )
 
 
 @pytest.mark.parametrize("count", [3, MANY])
@@ -239,8 +252,10 @@
             sends[action.server].append(at - start)
 
 
-@pytest.mark.parametrize("count,rate,newcomers,asked", [
-    (20, 150, 2, 0.95), (30, 200, 3, 0.6), (30, 200, 3, 0.95), (200, 400, 6, 0.6), (200, 400, 6, 0.95)])
+@pytest.mark.parametrize(
+    "count,rate,newcomers,asked",
+    [(20, 150, 2, 0.95), (30, 200, 3, 0.6), (30, 200, 3, 0.95), (200, 400, 6, 0.6), (200, 400, 6, 0.95)],
+)
 def test_all_gateways_together_pass_a_newcomers_budget_by_chance_alone(count, rate, newcomers, asked):
     # Guards against turns given out three times over, as most lapse: where clients come to every gateway none do, and
     # all together sent up to 2.8 times the budget.
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -17,12 +17,19 @@
     (folder / "tests").mkdir()
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
     (folder / "tests" / "conftest.py").write_text(
-        f"import sys\nsys.path.insert(0, {str(HERE)!r})\nfrom known_red import *\n")
+        f"import sys\nsys.path.insert(0, {str(HERE)!r})\nfrom known_red import *\n"
+    )
     (folder / "tests" / "test_it.py").write_text(TESTS)
     if listed is not None:
         (folder / "KNOWN-RED.txt").write_text(listed)
-    ran = subprocess.run([sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args], cwd=folder,
-                         capture_output=True, text=True, timeout=60, check=False)
+    ran = subprocess.run(
+        [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *args],
+        cwd=folder,
+        capture_output=True,
+        text=True,
+        timeout=60,
+        check=False,
+    )
     return ran.returncode, ran.stdout + ran.stderr
 
 
@@ -40,14 +47,18 @@
     assert code == 1 and "1 failed, 1 passed" in told and "known red" not in told
 
 
-@pytest.mark.parametrize("listed,why", [
-    (RED + "tests/test_it.py::test_green | cause | 1\n", "test_green"),
-    ("tests/test_it.py::test_red | | 34\n", "KNOWN-RED.txt:1: 'test | cause | issue' was expected"),
-    ("tests/test_it.py::test_red | cause\n", "KNOWN-RED.txt:1: 'test | cause | issue' was expected"),
-    (RED + RED, "KNOWN-RED.txt:2: tests/test_it.py::test_red stands twice"),
-    (RED + "tests/test_it.py::test_other | cause | 1\n", "no such test: tests/test_it.py::test_other"),
-    (RED + "tests/test_gone.py::test_a | cause | 1\n", "no such test: tests/test_gone.py::test_a"),
-    ("".join(f"tests/test_it.py::t{n} | cause | 1\n" for n in range(4)), "4 tests, 3 at most are allowed")])
+@pytest.mark.parametrize(
+    "listed,why",
+    [
+        (RED + "tests/test_it.py::test_green | cause | 1\n", "test_green"),
+        ("tests/test_it.py::test_red | | 34\n", "KNOWN-RED.txt:1: 'test | cause | issue' was expected"),
+        ("tests/test_it.py::test_red | cause\n", "KNOWN-RED.txt:1: 'test | cause | issue' was expected"),
+        (RED + RED, "KNOWN-RED.txt:2: tests/test_it.py::test_red stands twice"),
+        (RED + "tests/test_it.py::test_other | cause | 1\n", "no such test: tests/test_it.py::test_other"),
+        (RED + "tests/test_gone.py::test_a | cause | 1\n", "no such test: tests/test_gone.py::test_a"),
+        ("".join(f"tests/test_it.py::t{n} | cause | 1\n" for n in range(4)), "4 tests, 3 at most are allowed"),
+    ],
+)
 def test_a_file_that_does_not_hold_fails_the_run_and_says_why(tmp_path: Path, listed: str, why: str) -> None:
     code, told = suite(tmp_path, listed)
     assert code not in (0, 5) and why in told, told
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -62,10 +62,20 @@
 
 @pytest.mark.parametrize("host", HOSTS)
 def test_a_run_does_not_hang_on_the_hash_seed(host: str):
-    code = ("from lab_small import day; from test_lab_days import run;"
-            f"print(run(day(troubles=('relay_kill', 'zone_cut')), {host!r}).digest)")
-    told = {subprocess.run([sys.executable, "-c", code], env={"PYTHONHASHSEED": seed, "PYTHONPATH": ".:tests"},
-                           text=True, capture_output=True, check=True).stdout for seed in ("1", "2")}
+    code = (
+        "from lab_small import day; from test_lab_days import run;"
+        f"print(run(day(troubles=('relay_kill', 'zone_cut')), {host!r}).digest)"
+    )
+    told = {
+        subprocess.run(
+            [sys.executable, "-c", code],
+            env={"PYTHONHASHSEED": seed, "PYTHONPATH": ".:tests"},
+            text=True,
+            capture_output=True,
+            check=True,
+        ).stdout
+        for seed in ("1", "2")
+    }
     assert len(told) == 1, told
 
 
@@ -92,17 +102,21 @@
 
 
 # A cold budget that is forgotten takes a day that the hunt found: tests/lab_cases.
-BARKS = [("LOST_ANSWER", "one answer", ("resets", "crash"), "module"),
-         ("TWO_AT_ONCE", "one attempt", ("hang",), "module"),
-         ("TWO_ANSWERS", "one answer", ("crowd",), "module"), ("RAISES", "crash", (), "module"),
-         ("DRAINING_USED", "drains", ("deploy", "crowd"), "module"),
-         ("NEVER_REFUSES", "one answer", ("crowd", "crash"), "module"),
-         ("SEVENTH_ATTEMPT", "one attempt", ("errors",), "module")]
+BARKS = [
+    ("LOST_ANSWER", "one answer", ("resets", "crash"), "module"),
+    ("TWO_AT_ONCE", "one attempt", ("hang",), "module"),
+    ("TWO_ANSWERS", "one answer", ("crowd",), "module"),
+    ("RAISES", "crash", (), "module"),
+    ("DRAINING_USED", "drains", ("deploy", "crowd"), "module"),
+    ("NEVER_REFUSES", "one answer", ("crowd", "crash"), "module"),
+    ("SEVENTH_ATTEMPT", "one attempt", ("errors",), "module"),
+]
 
 
 @pytest.mark.parametrize(("name", "rule", "troubles", "host"), BARKS)
 def test_each_checker_barks_at_what_is_broken_and_not_at_what_is_sound(
-        name: str, rule: str, troubles: tuple[str, ...], host: str):
+    name: str, rule: str, troubles: tuple[str, ...], host: str
+):
     scenario = day(troubles=troubles, harsh=True)
     source = getattr(lab_broken, name)
     told = []
@@ -115,7 +129,8 @@
 
 
 def test_the_relay_keeps_a_broken_module_off_draining_servers_and_without_its_guard_the_checker_barks(
-        monkeypatch: pytest.MonkeyPatch):
+    monkeypatch: pytest.MonkeyPatch,
+):
     scenario, source = day(troubles=("deploy", "crowd"), harsh=True), lab_broken.DRAINING_USED
     guarded = [run(scenario, "relay", seed, source).broken for seed in range(1, 7)]
     assert not any(guarded), guarded
@@ -217,22 +232,27 @@
 def test_blocks_of_one_label_are_laid_over_one_another_in_turn():
     over = [f'trouble "crash" {{\n  at = "{at}s"\n}}\n' for at in (2, 3, 4)]
     below = text(("crash", "hang", "crash"))
-    told = [[(each.name, each.at.low // SECOND, each.lasts.low > 0) for each in load_text(below, "".join(over[:many])
-             ).trouble] for many in (1, 3)]
+    told = [
+        [
+            (each.name, each.at.low // SECOND, each.lasts.low > 0)
+            for each in load_text(below, "".join(over[:many])).trouble
+        ]
+        for many in (1, 3)
+    ]
     assert told[0] == [("crash", 2, True), ("hang", 1, True), ("crash", 2, True)]  # the last has its own 2.8 s
     assert told[1] == [("crash", 2, True), ("hang", 1, True), ("crash", 3, True), ("crash", 4, False)]
 
 
 def test_a_server_that_alters_a_line_is_seen(monkeypatch: pytest.MonkeyPatch):
     say = peers.TileSeat.say
-    monkeypatch.setattr(peers.TileSeat, "say", lambda seat, line: say(
-        seat, b"SAME 99" if line == b"SAME 2" else line))
+    monkeypatch.setattr(peers.TileSeat, "say", lambda seat, line: say(seat, b"SAME 99" if line == b"SAME 2" else line))
     broken = run(day(), "relay").broken
     assert broken is not None and broken.rule == "lines", broken
 
 
 def test_a_relay_that_loses_a_connection_without_a_word_is_seen(monkeypatch: pytest.MonkeyPatch):
     from scaledeal.net.user_agent import UserAgent
+
     monkeypatch.setattr(UserAgent, "move", lambda agent: agent.reset())
     broken = run(day(troubles=("relay_restart",)), "relay").broken
     assert broken is not None and broken.rule == "cut", broken
@@ -241,6 +261,7 @@
 
 def test_a_descriptor_that_nobody_gives_back_is_seen(monkeypatch: pytest.MonkeyPatch):
     from scaledeal.lab.hosts.relay.reactor import Process
+
     given = Process.gives_back
     monkeypatch.setattr(Process, "gives_back", lambda process: given(process) if process.held % 7 else None)
     broken = run(day(), "relay").broken
@@ -255,12 +276,18 @@
 
 
 @pytest.mark.parametrize("host", HOSTS)
-@pytest.mark.parametrize("over", [
-    "servers {\n  count = 1\n}\n", "relays {\n  count = 1\n}\n",
-    'network {\n  same = "0s"\n  cross = "0s"\n  client = "0s"\n}\n',
-    'clients {\n  life = "1ms"\n  load = 0.001\n}\n',
-    'servers {\n  count = 1\n}\ntrouble "crash" {\n  at = "0s"\n}\n',
-    'relays {\n  sockets = 64\n}\n', 'discovery {\n  call = "2s"\n  patience = "1s"\n}\n'])
+@pytest.mark.parametrize(
+    "over",
+    [
+        "servers {\n  count = 1\n}\n",
+        "relays {\n  count = 1\n}\n",
+        'network {\n  same = "0s"\n  cross = "0s"\n  client = "0s"\n}\n',
+        'clients {\n  life = "1ms"\n  load = 0.001\n}\n',
+        'servers {\n  count = 1\n}\ntrouble "crash" {\n  at = "0s"\n}\n',
+        "relays {\n  sockets = 64\n}\n",
+        'discovery {\n  call = "2s"\n  patience = "1s"\n}\n',
+    ],
+)
 def test_mad_days_end(over: str, host: str):
     outcome = play(Job(text(seconds=3), 1, host, Variant("mad", "", over)))  # type: ignore[arg-type]
     assert not outcome.error and not outcome.violations, outcome.violations
@@ -268,8 +295,12 @@
 
 def test_both_hosts_agree_on_service_where_wires_do_not_matter():
     # What differs is said in docs/lab.md: the relay reads loads and delays off one word, and probes over connections.
-    scores = {host: [run(day(troubles=("deploy",), seconds=8), host, seed).fleet.service.result()["whole"]
-                     for seed in (1, 2, 3)] for host in HOSTS}
+    scores = {
+        host: [
+            run(day(troubles=("deploy",), seconds=8), host, seed).fleet.service.result()["whole"] for seed in (1, 2, 3)
+        ]
+        for host in HOSTS
+    }
     apart = abs(sum(scores["module"]) - sum(scores["relay"])) / 3
     assert apart < 0.08, scores
 
@@ -303,8 +334,10 @@
 
 
 def test_what_a_tenant_asks_beyond_its_quota_is_worth_less():
-    scenario = load_text(text(), 'clients {\n  over_worth = 0.1\n}\ntenant "large" {\n  quota = 0.5\n}\n'
-                                 'tenant "small" {\n  quota = 0.5\n}\n')
+    scenario = load_text(
+        text(),
+        'clients {\n  over_worth = 0.1\n}\ntenant "large" {\n  quota = 0.5\n}\ntenant "small" {\n  quota = 0.5\n}\n',
+    )
     service = Service(scenario)
     service.quotas = (2.0, 2.0)
     for tenant, connections in ((0, 4), (1, 1)):  # cells of the first class
@@ -328,12 +361,16 @@
     assert {round(server.given, 6) for server in fleet.live()} == {1.0}, "all of the machine is back at the end"
 
 
-@pytest.mark.parametrize(("over", "wrong"), [
-    ("goal {\n  whole = 0.9\n}\n", "must come to 1"),
-    ("goal {\n  whole = 0.4\n  worst_tenant = 0.1\n}\n", "without tenants"),
-    ('trouble "neighbour" {\n  at = "1s"\n  size = 1\n}\n', "share of the machine"),
-    ('trouble "slow" {\n  at = "1s"\n  size = 1\n}\n', "times slower"),
-    ('rules {\n  report_fields = ["x1"]\n}\n', "report_fields")])
+@pytest.mark.parametrize(
+    ("over", "wrong"),
+    [
+        ("goal {\n  whole = 0.9\n}\n", "must come to 1"),
+        ("goal {\n  whole = 0.4\n  worst_tenant = 0.1\n}\n", "without tenants"),
+        ('trouble "neighbour" {\n  at = "1s"\n  size = 1\n}\n', "share of the machine"),
+        ('trouble "slow" {\n  at = "1s"\n  size = 1\n}\n', "times slower"),
+        ('rules {\n  report_fields = ["x1"]\n}\n', "report_fields"),
+    ],
+)
 def test_what_a_scenario_of_the_second_deployment_can_have_wrong_is_told(over: str, wrong: str):
     with pytest.raises(FileError, match=wrong):
         load_text(text(), over)
--- a/tests/test_lab_kernel.py
+++ b/tests/test_lab_kernel.py
@@ -17,8 +17,9 @@
 DRAWN = 20_000
 
 
-def queue(workers: int, rate: float, work: float, seed: int, law: str = "exponential",
-          kind: type[Station] = Station) -> Station:
+def queue(
+    workers: int, rate: float, work: float, seed: int, law: str = "exponential", kind: type[Station] = Station
+) -> Station:
     """Play a queue with Poisson arrivals until so many were served; work and rate are in seconds."""
     kernel = Kernel()
     station = kind(kernel, workers)
@@ -149,8 +150,12 @@
 
 def test_draws_do_not_hang_on_the_hash_seed():
     code = "from scaledeal.lab.kernel import Streams; print(Streams(3).of('a', 1).integers(1 << 60))"
-    told = {subprocess.run([sys.executable, "-c", code], env={"PYTHONHASHSEED": seed}, capture_output=True,
-                           text=True, check=True).stdout for seed in ("0", "1")}
+    told = {
+        subprocess.run(
+            [sys.executable, "-c", code], env={"PYTHONHASHSEED": seed}, capture_output=True, text=True, check=True
+        ).stdout
+        for seed in ("0", "1")
+    }
     assert len(told) == 1
 
 
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -81,9 +81,24 @@
 
 def comparison(folder: Path, seeds: str) -> list[str]:
     (folder / "small.hcl").write_text(text(seconds=3))
-    return [sys.executable, "-m", "scaledeal.cli.main", "lab", "compare", str(folder / "small.hcl"), "--variant", "now",
-            "--variant", "few=set:relays {;  count = 1;}", "--seeds", seeds, "--workers", "1",
-            "--store", str(folder / "lab.sqlite")]
+    return [
+        sys.executable,
+        "-m",
+        "scaledeal.cli.main",
+        "lab",
+        "compare",
+        str(folder / "small.hcl"),
+        "--variant",
+        "now",
+        "--variant",
+        "few=set:relays {;  count = 1;}",
+        "--seeds",
+        seeds,
+        "--workers",
+        "1",
+        "--store",
+        str(folder / "lab.sqlite"),
+    ]
 
 
 def test_a_comparison_that_is_killed_outright_goes_on_from_where_it_was(tmp_path: Path):
@@ -139,8 +154,15 @@
     assert 176 <= held <= 200, held  # 95 %, and five standard deviations
 
 
-@pytest.mark.parametrize(("told", "why"), [("rev:nowhere", "nowhere"), ("file:/none.py", "No such"),
-                                           ("x", "was expected"), ("a=file:" + __file__, "be taken")])
+@pytest.mark.parametrize(
+    ("told", "why"),
+    [
+        ("rev:nowhere", "nowhere"),
+        ("file:/none.py", "No such"),
+        ("x", "was expected"),
+        ("a=file:" + __file__, "be taken"),
+    ],
+)
 def test_a_variant_that_can_not_be_had_is_told(told: str, why: str):
     with pytest.raises(VariantError, match=why):
         variant_of(told)
@@ -152,15 +174,25 @@
 
 
 def test_bad_scenarios_are_told_all_at_once(tmp_path: Path):
-    bad = ('seconds = "0s"\nzones = ["a", "a"]\nservers {\n  per_core = -3\n  modle = 1\n'
-           '  model "m" {\n    speed = 0\n  }\n}\n'
-           'class "one" {\n  aim = "2s"\n  deadline = "1s"\n}\ntrouble "hang" {\n  at = "90s"\n  part = 3\n}\n'
-           'trouble "flood" {\n  at = "1s"\n}\n')
+    bad = (
+        'seconds = "0s"\nzones = ["a", "a"]\nservers {\n  per_core = -3\n  modle = 1\n'
+        '  model "m" {\n    speed = 0\n  }\n}\n'
+        'class "one" {\n  aim = "2s"\n  deadline = "1s"\n}\ntrouble "hang" {\n  at = "90s"\n  part = 3\n}\n'
+        'trouble "flood" {\n  at = "1s"\n}\n'
+    )
     (tmp_path / "bad.hcl").write_text(bad)
     told = CliRunner().invoke(app, ["lab", "check", str(tmp_path / "bad.hcl")])
     assert told.exit_code == 2
-    for place in ("line 1: seconds", "line 2: zones", "line 4: servers.per_core", "line 5: servers.modle",
-                  'servers.model["m"].speed', 'class["one"].aim', 'trouble["hang"].part', 'trouble["flood"]'):
+    for place in (
+        "line 1: seconds",
+        "line 2: zones",
+        "line 4: servers.per_core",
+        "line 5: servers.modle",
+        'servers.model["m"].speed',
+        'class["one"].aim',
+        'trouble["hang"].part',
+        'trouble["flood"]',
+    ):
         assert place in told.output, (place, told.output)
 
 
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -49,7 +49,7 @@
     client = one.client(1, 1000)
     server = one.attempts()[0].up(one.reactor)
     server.flush()
-    transaction, = one.relay.driver.transactions.values()
+    (transaction,) = one.relay.driver.transactions.values()
     turns = [lambda: server.receive(b"UP 1\r\n"), transaction._answer_owed]
     for turn in turns if first == "answer" else reversed(turns):
         if not server.lost and not server.closing:
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -19,11 +19,15 @@
     assert {name for name, each in found["properties"].items() if each["holds"]} == set(INVARIANTS)
 
 
-@pytest.mark.parametrize(("name", "breaks"), [
-    ("no margin for drift", "one holder at a moment"),
-    ("a span counted from the answer", "one holder at a moment"),
-    ("a renewal that the table does not compare", "one holder at a moment"),
-    ("a token that nobody checks", "no act after a newer one")])
+@pytest.mark.parametrize(
+    ("name", "breaks"),
+    [
+        ("no margin for drift", "one holder at a moment"),
+        ("a span counted from the answer", "one holder at a moment"),
+        ("a renewal that the table does not compare", "one holder at a moment"),
+        ("a token that nobody checks", "no act after a newer one"),
+    ],
+)
 def test_each_mutant_is_caught(name: str, breaks: str) -> None:
     found = check_safety(protocol(MUTANTS[name]), 150_000)["properties"][breaks]
     assert found["holds"] is False, f"{name}: not seen in the states walked"
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -74,9 +74,14 @@
 
 def test_what_is_old_or_as_high_changes_nothing() -> None:
     member = Members("a", "a:1", {"b": "b:1"}, Pace(), 1)
-    for state, incarnation, held in ((State.SUSPECT, 2, State.SUSPECT), (State.ALIVE, 2, State.SUSPECT),
-                                     (State.ALIVE, 1, State.SUSPECT), (State.ALIVE, 3, State.ALIVE),
-                                     (State.DEAD, 3, State.DEAD), (State.SUSPECT, 3, State.DEAD)):
+    for state, incarnation, held in (
+        (State.SUSPECT, 2, State.SUSPECT),
+        (State.ALIVE, 2, State.SUSPECT),
+        (State.ALIVE, 1, State.SUSPECT),
+        (State.ALIVE, 3, State.ALIVE),
+        (State.DEAD, 3, State.DEAD),
+        (State.SUSPECT, 3, State.DEAD),
+    ):
         member.heard(0, Ping(1, "b", (News("b", "b:1", state, incarnation),)))
         assert member.state("b") is held, (state, incarnation)
     member.heard(0, Ping(2, "b", (News("a", "a:1", State.SUSPECT, 0),)))
--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -25,8 +25,13 @@
 WAIT_MS = 3000
 OPEN = b"OPEN 9b1f 7f3a c=browse,d=%d,g=5c0f,x=1" % WAIT_MS
 FINAL = (b"UP", b"BUSY", b"ERR", b"BYE")
-BEFORE_UP = {b"BYE": api.Result.OK, b"MOVE": api.Result.CANCELLED, b"ERR": api.Result.ERROR,
-             b"BUSY": api.Result.FULL, b"SYNTAX": api.Result.ERROR}
+BEFORE_UP = {
+    b"BYE": api.Result.OK,
+    b"MOVE": api.Result.CANCELLED,
+    b"ERR": api.Result.ERROR,
+    b"BUSY": api.Result.FULL,
+    b"SYNTAX": api.Result.ERROR,
+}
 
 
 class OneRequest(RuleBasedStateMachine):
@@ -278,8 +283,7 @@
         for number in range(self.sends):
             for outcome in self.events(api.Outcome):
                 if outcome.attempt == number and number not in self.told:
-                    assert outcome.result in (api.Result.TIMEOUT, api.Result.CONNECT_FAILED,
-                                              api.Result.CANCELLED)
+                    assert outcome.result in (api.Result.TIMEOUT, api.Result.CONNECT_FAILED, api.Result.CANCELLED)
                     self.told[number] = outcome.result
         self.over = self.over or any(outcome.last for outcome in self.events(api.Outcome))
         due = self.asked_at + WAIT_MS * 1_000_000 + SLACK
@@ -304,7 +308,7 @@
             assert len(answers) <= 1, "two final answers"
         else:
             expected = self.to_client
-            assert lines == expected[:len(lines)], (lines, expected)
+            assert lines == expected[: len(lines)], (lines, expected)
         open_now = [w for w in self.bench.wires() if not w.lost and not w.closing]
         assert len(open_now) + sum(not d.over for d in self.bench.reactor.dialled) <= 1, "two attempts out"
 
@@ -333,7 +337,7 @@
     def lines_pass_unchanged(self) -> None:
         if self.stood:
             sent = self.bench.wires()[-1].lines()[1:]
-            assert sent == self.to_server[:len(sent)]
+            assert sent == self.to_server[: len(sent)]
 
     def teardown(self) -> None:
         """Nothing is left of a request that is over: no socket, buffer, timer or entry."""
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -43,14 +43,44 @@
     assert read.with_wait(1).partition(b"d=")[2].startswith(b"1,"), "a wait of no time would be no number"
 
 
-@pytest.mark.parametrize("line", [b"OPEN a b c=x", b"OPEN a b d=1", b"OPEN a  c=x,d=1", b"open a b c=x,d=1",
-                                  b"OPEN a b c=x,d=1 more", b"OPEN a b c=x,d=1.5", b"\xff", b"",
-                                  b"OPEN - b c=x,d=1", b"OPEN  b c=x,d=1", b"OPEN a b c=x,c=y,d=1",
-                                  b"OPEN a b c=x,d=1,g=\x00", *(
-    b"OPEN a b c=x,%s" % odd for odd in (
-        b"d=0", b"d=-1", b"d=nan", b"d=99999999999", b"d=1e3", b"d=1_0", b"d=", b"d=1,h=nan", b"d=1,h=-1",
-        b"d=1,h=inf", b"d=1,h=1_0", b"d=1,h=" + b"9" * 400, b"d=1,h=x", b"d=1,t=-1", b"d=1,t=",
-        b"d=1,t=a b"))])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"OPEN a b c=x",
+        b"OPEN a b d=1",
+        b"OPEN a  c=x,d=1",
+        b"open a b c=x,d=1",
+        b"OPEN a b c=x,d=1 more",
+        b"OPEN a b c=x,d=1.5",
+        b"\xff",
+        b"",
+        b"OPEN - b c=x,d=1",
+        b"OPEN  b c=x,d=1",
+        b"OPEN a b c=x,c=y,d=1",
+        b"OPEN a b c=x,d=1,g=\x00",
+        *(
+            b"OPEN a b c=x,%s" % odd
+            for odd in (
+                b"d=0",
+                b"d=-1",
+                b"d=nan",
+                b"d=99999999999",
+                b"d=1e3",
+                b"d=1_0",
+                b"d=",
+                b"d=1,h=nan",
+                b"d=1,h=-1",
+                b"d=1,h=inf",
+                b"d=1,h=1_0",
+                b"d=1,h=" + b"9" * 400,
+                b"d=1,h=x",
+                b"d=1,t=-1",
+                b"d=1,t=",
+                b"d=1,t=a b",
+            )
+        ),
+    ],
+)
 def test_a_line_in_another_form_is_no_request(line):
     assert wording.read_open(line) is None
 
@@ -103,9 +133,16 @@
     # Guards against a hang that the module never hears of: 14,350 ms read as a load of 14,350 us a second.
     lines, now = load_lines()
     told = []
-    for at, name, amount in ((0, "c", 60_000.0), (0, "d", 9000.0), (300, "d", 15_000.0), (500, "c", 14_350.6),
-                             (900, "d", 14_000.0), (1500, "c", 15_096.5), (1900, "d", 30_000.0),
-                             (2500, "d", 15_096.5)):
+    for at, name, amount in (
+        (0, "c", 60_000.0),
+        (0, "d", 9000.0),
+        (300, "d", 15_000.0),
+        (500, "c", 14_350.6),
+        (900, "d", 14_000.0),
+        (1500, "c", 15_096.5),
+        (1900, "d", 30_000.0),
+        (2500, "d", 15_096.5),
+    ):
         now[0] = at * MS
         told.append((lines.read("s", name, amount) or ("", 0))[0] is api.NoteKind.DELAY)
     assert told == [False, False, False, False, False, True, False, True]
@@ -138,8 +175,8 @@
     bench = Bench()
     client = bench.client()
     line = (OPEN[:-2] + b",x=").ljust(size, b"y")
-    client.receive(line[:LINE - 2])
-    client.receive(line[LINE - 2:] + b"\r\n")
+    client.receive(line[: LINE - 2])
+    client.receive(line[LINE - 2 :] + b"\r\n")
     assert len(bench.module.of(api.Request)) == (size == LINE - 2)
     assert client.lines() == ([] if size == LINE - 2 else [b"ERR"])
     assert bench.pool.out == 0
@@ -328,9 +365,19 @@
     assert client.lines() == [b"ERR"] == standing.lines() and not bench.driver.transactions
 
 
-@pytest.mark.parametrize(("told", "taken"), [(b"", True), (b",t=acme", True), (b",t=0", True), (b",t=1", False),
-                                             (b",t=nan", False), (b",t=1.5", False), (b",t=99999999999", False),
-                                             (b",t=Acme", False)])
+@pytest.mark.parametrize(
+    ("told", "taken"),
+    [
+        (b"", True),
+        (b",t=acme", True),
+        (b",t=0", True),
+        (b",t=1", False),
+        (b",t=nan", False),
+        (b",t=1.5", False),
+        (b",t=99999999999", False),
+        (b",t=Acme", False),
+    ],
+)
 def test_a_tenant_is_told_by_its_name_in_the_settings_or_by_its_number(told, taken):
     bench = Bench()
     client = bench.client()
@@ -353,8 +400,10 @@
     assert len(caplog.records) == 1 and bench.reactor.getDelayedCalls() == []
 
 
-@pytest.mark.parametrize(("stated", "soft", "most"), [(540, 4096, 540), (540, 256, 256), (0, 300, 300),
-                                                      (0, resource.RLIM_INFINITY, 1024), (0, 1 << 20, 1024)])
+@pytest.mark.parametrize(
+    ("stated", "soft", "most"),
+    [(540, 4096, 540), (540, 256, 256), (0, 300, 300), (0, resource.RLIM_INFINITY, 1024), (0, 1 << 20, 1024)],
+)
 def test_the_descriptors_are_what_is_stated_and_allowed(monkeypatch, stated, soft, most):
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, soft))
     assert most_descriptors(stated) == most
@@ -398,8 +447,11 @@
 
 def test_probes_share_a_connection_and_each_has_one_result():
     bench = Bench()
-    answers = [(b"PONG eps=0,inflight=3,x0=0.5\r\n", api.Result.OK), (b"ERR\r\n", api.Result.ERROR),
-               (b"NO\r\n", api.Result.ERROR)]
+    answers = [
+        (b"PONG eps=0,inflight=3,x0=0.5\r\n", api.Result.OK),
+        (b"ERR\r\n", api.Result.ERROR),
+        (b"NO\r\n", api.Result.ERROR),
+    ]
     for line, result in answers:
         bench.act(api.Probe("a"))
         if not bench.wires():
@@ -457,9 +509,15 @@
 
 def a_watch() -> tuple[discovery_watch.DiscoveryWatch, list[api.MembershipKind]]:
     told: list[api.MembershipKind] = []
-    made = discovery_watch.DiscoveryWatch(Clock(), "127.0.0.1", 1, Catalog((), Calendar(0)),
-                                          lambda event, _: told.append(event.kind),
-                                          WatchTimes(False, 10.0, 1.0, 0.5), lambda: 0.0)
+    made = discovery_watch.DiscoveryWatch(
+        Clock(),
+        "127.0.0.1",
+        1,
+        Catalog((), Calendar(0)),
+        lambda event, _: told.append(event.kind),
+        WatchTimes(False, 10.0, 1.0, 0.5),
+        lambda: 0.0,
+    )
     made.agent = Calls()
     return made, told
 
@@ -470,7 +528,7 @@
     for late in (succeed, fail):
         watch, told = a_watch()
         watch.watch()
-        (url, call), = watch.agent.out
+        ((url, call),) = watch.agent.out
         assert url.endswith("/catalog/members"), "no version is known there yet"
         watch.close()
         reply = SimpleNamespace(code=200, body=b'{"index":9,"snapshot":true,"endpoints":[]}')
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -30,12 +30,16 @@
   rule "all" { class = "browse" }
 }
 """
-CONFIG = {"settings": {"Classes": [{"Name": "browse", "Aim": 5e8, "Deadline": 3e9},
-                                   {"Name": "overlay", "Aim": 3e8, "Deadline": 1.2e9}]}}
+CONFIG = {
+    "settings": {
+        "Classes": [{"Name": "browse", "Aim": 5e8, "Deadline": 3e9}, {"Name": "overlay", "Aim": 3e8, "Deadline": 1.2e9}]
+    }
+}
 
 
 def document() -> Document:
     import msgspec
+
     return msgspec.convert(CONFIG["settings"], Document)
 
 
@@ -60,30 +64,33 @@
     assert read_text("").quic is None
 
 
-@pytest.mark.parametrize(("change", "to", "line", "reason"), [
-    ('"127.0.0.1:4433"', '"127.0.0.1"', 3, "quic.listen: host:port was expected"),
-    ('"1.5s"', "1.5", 5, "quic.idle: a duration was expected"),
-    ('"1.5s"', '"0.1s"', 5, "quic.idle: must lie between"),
-    ("max_flows = 10", 'max_flows = "ten"', 6, "quic.max_flows: Expected `int`"),
-    ("max_flows = 10", "max_flows = 0", 6, "quic.max_flows"),
-    ("max_paths = 12", "max_paths = 2", 7, "quic.max_paths: must not be below"),
-    ("max_paths = 12", "max_path = 12", 7, "quic.max_path: not known here"),
-    ("max_paths = 12", "max_flows = 12", 7, "max_flows: stated twice"),
-    ('"*.overlay.example"', '"over*.example"', 9, "an asterisk"),
-    ('"*.overlay.example"', "5", 9, "Expected `str`"),
-    ('= "overlay"\n', '= "compare"\n', 10, "no class 'compare'; there are browse, overlay"),
-    ('"1200ms"', '"1300ms"', 11, "is past the class's give-up time of 1200 ms"),
-    ('"1200ms"', '"1ms"', 11, "must lie between"),
-    ('rule "all"', 'rule "overlay"', 13, "stands above"),
-    ('rule "all"', "rule", 13, "needs a name"),
-    ('{ class = "browse" }', "{ }", 13, 'quic.rule["all"].class: is missing'),
-    ('rule "all" { class', 'rule "all" { tenant = 3\n class', 13, "there are only 1 tenants"),
-    ('= "browse"', '= "${var.x}"', 13, "only plain strings"),
-    ('= "browse"', "= max(1, 2)", 13, "only strings, numbers"),
-    ("quic {", "log = 3\nquic {", 2, "log: is a block, not a value"),
-    ("  keys ", "  keys {\n}\n other ", 4, "quic.keys: is a value, not a block"),
-    ("quic {", "quick {", 2, "quick: not known here"),
-])
+@pytest.mark.parametrize(
+    ("change", "to", "line", "reason"),
+    [
+        ('"127.0.0.1:4433"', '"127.0.0.1"', 3, "quic.listen: host:port was expected"),
+        ('"1.5s"', "1.5", 5, "quic.idle: a duration was expected"),
+        ('"1.5s"', '"0.1s"', 5, "quic.idle: must lie between"),
+        ("max_flows = 10", 'max_flows = "ten"', 6, "quic.max_flows: Expected `int`"),
+        ("max_flows = 10", "max_flows = 0", 6, "quic.max_flows"),
+        ("max_paths = 12", "max_paths = 2", 7, "quic.max_paths: must not be below"),
+        ("max_paths = 12", "max_path = 12", 7, "quic.max_path: not known here"),
+        ("max_paths = 12", "max_flows = 12", 7, "max_flows: stated twice"),
+        ('"*.overlay.example"', '"over*.example"', 9, "an asterisk"),
+        ('"*.overlay.example"', "5", 9, "Expected `str`"),
+        ('= "overlay"\n', '= "compare"\n', 10, "no class 'compare'; there are browse, overlay"),
+        ('"1200ms"', '"1300ms"', 11, "is past the class's give-up time of 1200 ms"),
+        ('"1200ms"', '"1ms"', 11, "must lie between"),
+        ('rule "all"', 'rule "overlay"', 13, "stands above"),
+        ('rule "all"', "rule", 13, "needs a name"),
+        ('{ class = "browse" }', "{ }", 13, 'quic.rule["all"].class: is missing'),
+        ('rule "all" { class', 'rule "all" { tenant = 3\n class', 13, "there are only 1 tenants"),
+        ('= "browse"', '= "${var.x}"', 13, "only plain strings"),
+        ('= "browse"', "= max(1, 2)", 13, "only strings, numbers"),
+        ("quic {", "log = 3\nquic {", 2, "log: is a block, not a value"),
+        ("  keys ", "  keys {\n}\n other ", 4, "quic.keys: is a value, not a block"),
+        ("quic {", "quick {", 2, "quick: not known here"),
+    ],
+)
 def test_one_thing_wrong(change: str, to: str, line: int, reason: str) -> None:
     """Each is refused, with its line and its reason."""
     assert change in GOOD
@@ -131,6 +138,7 @@
     assert "config 0  old" in listed and "config 1  active  plaintext" in listed
     from scaledeal.quic.ids import key_file
     from scaledeal.quic.ids.servers import server_id
+
     ring = key_file.read(keys)
     assert not any(each.key and each.key in listed for each in ring.configs)
     cid = ring.codecs()[0].new(server_id("s-1", 8)).hex()
@@ -146,36 +154,57 @@
 
 def test_the_platforms_relay_loads_none_of_it() -> None:
     """Days there have 40 MB: what is off must not be in memory."""
-    code = ("import sys, scaledeal.__main__\n"
-            "print([n for n in sys.modules if n.split('.')[0] in ('structlog', 'typer', 'hcl2', 'lark', 'aioquic')"
-            " or n.startswith(('scaledeal.quic', 'scaledeal.operator', 'scaledeal.cli', 'scaledeal.lab'))])")
-    assert subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True,
-                          check=True).stdout.strip() == "[]"
+    code = (
+        "import sys, scaledeal.__main__\n"
+        "print([n for n in sys.modules if n.split('.')[0] in ('structlog', 'typer', 'hcl2', 'lark', 'aioquic')"
+        " or n.startswith(('scaledeal.quic', 'scaledeal.operator', 'scaledeal.cli', 'scaledeal.lab'))])"
+    )
+    assert (
+        subprocess.run(
+            [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+        ).stdout.strip()
+        == "[]"
+    )
 
 
 def test_a_start_that_can_not_be_obeyed_ends_with_2(tmp_path: Path) -> None:
     """A relay that starts without what its operators wrote serves something else."""
     (tmp_path / "file.hcl").write_text("quic {\n}\n")
-    done = subprocess.run([sys.executable, "-m", "scaledeal.cli.main", "run", "-f", str(tmp_path / "file.hcl")],
-                          cwd=ROOT, capture_output=True, text=True, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "scaledeal.cli.main", "run", "-f", str(tmp_path / "file.hcl")],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
     assert done.returncode == 2 and "quic.listen: is missing" in done.stderr and "Traceback" not in done.stderr
 
 
 def test_what_breaks_a_rule_is_told_with_what_is_no_value():
     # Guards against a file that is mended fault by fault, one start each.
-    text = ('resume {\n  keys = "k"\n  owner = "o"\n  expiry = "1s"\n}\n'
-            'quic {\n  listen = "here"\n  keys = "k"\n  idle = "2h"\n'
-            '  max_flows = "many"\n  rule "a" {\n    class = "x"\n    tenant = -3\n    deadline = "1ms"\n  }\n}\n')
+    text = (
+        'resume {\n  keys = "k"\n  owner = "o"\n  expiry = "1s"\n}\n'
+        'quic {\n  listen = "here"\n  keys = "k"\n  idle = "2h"\n'
+        '  max_flows = "many"\n  rule "a" {\n    class = "x"\n    tenant = -3\n    deadline = "1ms"\n  }\n}\n'
+    )
     with pytest.raises(FileError) as raised:
         read_text(text)
     told = [(fault.line, fault.place) for fault in raised.value.faults]
-    assert told == [(4, "resume.expiry"), (7, "quic.listen"), (9, "quic.idle"), (10, "quic.max_flows"),
-                    (13, 'quic.rule["a"].tenant'), (14, 'quic.rule["a"].deadline')], told
+    assert told == [
+        (4, "resume.expiry"),
+        (7, "quic.listen"),
+        (9, "quic.idle"),
+        (10, "quic.max_flows"),
+        (13, 'quic.rule["a"].tenant'),
+        (14, 'quic.rule["a"].deadline'),
+    ], told
 
 
 @pytest.mark.parametrize("value", ["-1", "-1.5", '-"x"', "1 + 2", "-true"])
 def test_a_number_with_a_sign_or_a_sum_is_told_with_its_block(value: str):
     with pytest.raises(FileError) as raised:
-        read_text(f'quic {{\n  listen = "a:1"\n  keys = "k"\n  max_flows = {value}\n'
-                  '  rule "r" {\n    class = "c"\n  }\n}\n')
+        read_text(
+            f'quic {{\n  listen = "a:1"\n  keys = "k"\n  max_flows = {value}\n'
+            '  rule "r" {\n    class = "c"\n  }\n}\n'
+        )
     assert [(fault.line, fault.place) for fault in raised.value.faults] == [(4, "quic.max_flows")]
--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -26,9 +26,11 @@
 def test_attempts() -> None:
     """Two at once, seven in all, and a close that comes after the next has begun."""
     sound, at_once, late, many = Record(), Record(), Record(), Record()
-    for record, events in ((sound, (("a", ASKS, 1), ("a", CLOSES, 2), ("b", ASKS, 3), ("b", ASKS, 4))),
-                           (at_once, (("a", ASKS, 1), ("b", ASKS, 3))),
-                           (late, (("a", ASKS, 1), ("b", ASKS, 3), ("a", CLOSES, 4)))):
+    for record, events in (
+        (sound, (("a", ASKS, 1), ("a", CLOSES, 2), ("b", ASKS, 3), ("b", ASKS, 4))),
+        (at_once, (("a", ASKS, 1), ("b", ASKS, 3))),
+        (late, (("a", ASKS, 1), ("b", ASKS, 3), ("a", CLOSES, 4))),
+    ):
         for server, datagram, at in events:
             record.at_server(server, datagram, at)
     for number in range(7):
@@ -36,7 +38,10 @@
         many.at_server(str(number), CLOSES, 2 * number + 2)
     assert sound.violations() == []
     assert [record.violations()[0].split(": ")[1] for record in (at_once, late, many)] == [
-        "out at a and b at once", "out at a and b at once", "7 attempts"]
+        "out at a and b at once",
+        "out at a and b at once",
+        "7 attempts",
+    ]
 
 
 def test_answers() -> None:
--- a/tests/test_quic_flows.py
+++ b/tests/test_quic_flows.py
@@ -147,6 +147,7 @@
                 lost.append(out[0])
                 return out[1:]
             return out
+
         return mangle
 
     long_list = ["tiles", *(f"protocol-{number:04}" for number in range(200))]
@@ -202,8 +203,9 @@
     assert {client.asked() for client in later[6:]} == {world.others(drained)[0].name}
     assert world.record.last_at[drained] - before < 1_000_000_000
     # The module moves who still stands there after a second: a flow stays all the same.
-    world.turn_until(lambda: relay.figure("relay_open_requests") <= len(clients + later) - homes.count(drained),
-                     "the module's moves")
+    world.turn_until(
+        lambda: relay.figure("relay_open_requests") <= len(clients + later) - homes.count(drained), "the module's moves"
+    )
     assert [client.asked() for client in clients] == homes
 
 
@@ -364,7 +366,10 @@
     relay = world.relay()
     plain = client_module.QuicConfiguration
     version_2 = 0x6B3343CF
-    monkeypatch.setattr(client_module, "QuicConfiguration", lambda **more: plain(
-        supported_versions=[version_2], original_version=version_2, **more))
+    monkeypatch.setattr(
+        client_module,
+        "QuicConfiguration",
+        lambda **more: plain(supported_versions=[version_2], original_version=version_2, **more),
+    )
     client = world.client(relay).until_up()
     assert client.asked() in ("s-0", "s-1")
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -159,6 +159,6 @@
     assert tokens.unseal(key, sealed, mine, -1000 - 2 * tokens.VALID) is None
     assert tokens.unseal(bytes(32), sealed, mine, 1000) is None
     at %= len(sealed)
-    altered = sealed[:at] + bytes((sealed[at] ^ change,)) + sealed[at + 1:]
+    altered = sealed[:at] + bytes((sealed[at] ^ change,)) + sealed[at + 1 :]
     assert tokens.unseal(key, altered, mine, 1000) is None
     assert tokens.unseal(key, sealed[:at], mine, 1000) is None
--- a/tests/test_quic_router.py
+++ b/tests/test_quic_router.py
@@ -31,20 +31,38 @@
 
 
 def router(max_flows: int = 6, max_paths: int = 8, paths_a_flow: int = 3, retry_above: int = 100) -> Router:
-    made = Router(FlowTable(max_flows, max_paths, paths_a_flow, IDLE), RING.codecs(), RING.secret("reset_key"),
-                  RING.secret("retry_key"), retry_above)
+    made = Router(
+        FlowTable(max_flows, max_paths, paths_a_flow, IDLE),
+        RING.codecs(),
+        RING.secret("reset_key"),
+        RING.secret("retry_key"),
+        retry_above,
+    )
     made.listed(NAMES, set())
     return made
 
 
-def first(dcid: bytes, scid: bytes = b"client", number: int = 0, part: slice = slice(None), token: bytes = b"",
-          size: int = 1200) -> bytes:
+def first(
+    dcid: bytes,
+    scid: bytes = b"client",
+    number: int = 0,
+    part: slice = slice(None),
+    token: bytes = b"",
+    size: int = 1200,
+) -> bytes:
     """Return a client's Initial with a part of its ClientHello."""
     start = part.indices(len(HELLO))[0]
     payload = frames.crypto(start, HELLO[part])
     short = initial(InitialKeys(V1, dcid).client, V1, dcid, scid, number, payload, token)
-    return initial(InitialKeys(V1, dcid).client, V1, dcid, scid, number,
-                   payload.ljust(len(payload) + size - len(short), b"\0"), token)
+    return initial(
+        InitialKeys(V1, dcid).client,
+        V1,
+        dcid,
+        scid,
+        number,
+        payload.ljust(len(payload) + size - len(short), b"\0"),
+        token,
+    )
 
 
 def from_server(flow: Flow, scid: bytes, payload: bytes) -> bytes:
@@ -148,8 +166,13 @@
         flow = self.pick(data, State.ASKED)
         if flow is None or flow.attempt is None:
             return
-        payload = {"ack": b"\2\0\0\0\0", "hello": frames.crypto(0, b"\2\0\0\0"), "refused": frames.close(2),
-                   "failed": frames.close(1), "noise": b""}[word]
+        payload = {
+            "ack": b"\2\0\0\0\0",
+            "hello": frames.crypto(0, b"\2\0\0\0"),
+            "refused": frames.close(2),
+            "failed": frames.close(1),
+            "noise": b"",
+        }[word]
         scid = CODEC.new(server_id(flow.server, 8))
         answer = from_server(flow, scid, payload) if payload else b"\xc0" * 40
         verdicts = self.router.from_server(self.now, flow.attempt, answer)
@@ -260,8 +283,9 @@
     return verdicts[0].flow
 
 
-def standing(made: Router, dcid: bytes = b"firstone", source: tuple[str, int] = ("127.0.0.1", 1),
-             name: str = "s-0") -> tuple[Flow, bytes]:
+def standing(
+    made: Router, dcid: bytes = b"firstone", source: tuple[str, int] = ("127.0.0.1", 1), name: str = "s-0"
+) -> tuple[Flow, bytes]:
     flow = asked(made, dcid, source)
     made.attempt(flow, name, 0)
     assert flow.attempt is not None
@@ -437,7 +461,7 @@
     """Whatever is done to a true datagram, nothing is raised and at most one flow begins."""
     made = router()
     true = first(b"firstone")
-    for data in (true[:at] + bytes((true[at] ^ change,)) + true[at + 1:], true[:length], true[length:] + true):
+    for data in (true[:at] + bytes((true[at] ^ change,)) + true[at + 1 :], true[:length], true[length:] + true):
         made.from_client(0, 0, ("h", 1), data)
     flow, cid = standing(made, b"otherone")
     path = flow.paths["127.0.0.1", 1]
@@ -447,19 +471,36 @@
     assert len(made.table.flows) <= 3
 
 
-@pytest.mark.parametrize(("pattern", "name", "yes"), [
-    ("*.example", "a.example", True), ("*.example", "a.b.example", False), ("*.example", ".example", False),
-    ("*.example", "example", False), ("A.example", "a.example", True), ("a.example", "b.example", False)])
+@pytest.mark.parametrize(
+    ("pattern", "name", "yes"),
+    [
+        ("*.example", "a.example", True),
+        ("*.example", "a.b.example", False),
+        ("*.example", ".example", False),
+        ("*.example", "example", False),
+        ("A.example", "a.example", True),
+        ("a.example", "b.example", False),
+    ],
+)
 def test_names(pattern: str, name: str, yes: bool) -> None:
     assert name_matches(pattern, name) is yes
 
 
 def test_wishes() -> None:
     """The first rule that matches; no deadline past its class's; the key and the group from where they are stated."""
-    rules = (QuicRule(name="o", class_name="overlay", sni=("*.o.example",), deadline=9 * SECOND, key_from="sni",
-                      group_from="label"),
-             QuicRule(name="p", class_name="overlay", alpn=("p",), key_from="id", group_from="sni"),
-             QuicRule(name="q", class_name="none", alpn=("q",)), QuicRule(name="r", class_name="browse"))
+    rules = (
+        QuicRule(
+            name="o",
+            class_name="overlay",
+            sni=("*.o.example",),
+            deadline=9 * SECOND,
+            key_from="sni",
+            group_from="label",
+        ),
+        QuicRule(name="p", class_name="overlay", alpn=("p",), key_from="id", group_from="sni"),
+        QuicRule(name="q", class_name="none", alpn=("q",)),
+        QuicRule(name="r", class_name="browse"),
+    )
     placing = Placing(Quic(listen="h:1", keys="k", rule=rules), {"browse": (0, 3 * SECOND), "overlay": (1, SECOND)})
     one = placing.wish(Hello("m1.o.example", ()), ("h", 1), b"\1\2")
     assert one is not None and (one.request_class, one.deadline) == (1, SECOND)
--- a/tests/test_relay_process.py
+++ b/tests/test_relay_process.py
@@ -31,12 +31,24 @@
 PATIENCE = 20.0
 SETTINGS: dict[str, Any] = {
     # The long aim gives an attempt 2.25 s, so that a busy machine does not change what a test sees.
-    "Classes": [{"Name": "browse", "Aim": 5_000_000_000, "Deadline": 3_000_000_000, "Semantics": "repeatable",
-                 "KeyScope": "all", "Worth": 2.0}],
+    "Classes": [
+        {
+            "Name": "browse",
+            "Aim": 5_000_000_000,
+            "Deadline": 3_000_000_000,
+            "Semantics": "repeatable",
+            "KeyScope": "all",
+            "Worth": 2.0,
+        }
+    ],
     "Caps": {"Probing": True, "Cancelling": True, "MaxAttempts": 6, "DialTimeout": 250_000_000},
     "Report": {"Fields": ["fail_rate", "rif", "x0"], "Via": "probe"},
-    "Discovery": "on_request", "FailureDomains": ["a", "b"], "Some": {"New": 1}, "Siblings": 3,
-    "Specifics": {"Groups": True, "MessageAim": [150_000_000], "Notes": "words"}, "Weights": "rough",
+    "Discovery": "on_request",
+    "FailureDomains": ["a", "b"],
+    "Some": {"New": 1},
+    "Siblings": 3,
+    "Specifics": {"Groups": True, "MessageAim": [150_000_000], "Notes": "words"},
+    "Weights": "rough",
 }
 
 
@@ -110,20 +122,37 @@
 class World:
     """A relay with one or more application servers and discovery."""
 
-    def __init__(self, tmp_path: Path, servers: int = 1, known: bool = True, sockets: int = 1024,
-                 settings: dict[str, Any] = SETTINGS, listed: bool = True) -> None:
+    def __init__(
+        self,
+        tmp_path: Path,
+        servers: int = 1,
+        known: bool = True,
+        sockets: int = 1024,
+        settings: dict[str, Any] = SETTINGS,
+        listed: bool = True,
+    ) -> None:
         self.gap = PATIENCE  # the shortest between an answer and the next call
         self.servers = [Listener() for _ in range(servers)]
         self.discovery = Listener()
         entries = self.entries()
         self.path = tmp_path / "config.json"
-        self.config = {"name": "n0", "seed": "8c1f30d27a5be964", "settings": settings, "extra": [1],
-                       "limits": {"cores": 1.0, "memory_mb": 80, "sockets": sockets},
-                       "known": {"index": 4, "snapshot": True, "endpoints": entries if known else []}}
+        self.config = {
+            "name": "n0",
+            "seed": "8c1f30d27a5be964",
+            "settings": settings,
+            "extra": [1],
+            "limits": {"cores": 1.0, "memory_mb": 80, "sockets": sockets},
+            "known": {"index": 4, "snapshot": True, "endpoints": entries if known else []},
+        }
         self.path.write_text(json.dumps(self.config))
-        env = {**os.environ, "PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_LISTEN": "127.0.0.1:0",
-               "PROXY_DISCOVERY": self.discovery.address, "PROXY_ADMIN": "127.0.0.1:0",
-               "TMPDIR": str(tmp_path)}
+        env = {
+            **os.environ,
+            "PROXY_CONFIG": str(tmp_path / "config.json"),
+            "PROXY_LISTEN": "127.0.0.1:0",
+            "PROXY_DISCOVERY": self.discovery.address,
+            "PROXY_ADMIN": "127.0.0.1:0",
+            "TMPDIR": str(tmp_path),
+        }
         self.env = env
         self.run()
         self.watch, self.query = self.next_watch(self.discovery.accept())
@@ -133,8 +162,9 @@
     def run(self) -> None:
         """Start the program and wait until operators can call it."""
         self.listens = 0
-        self.process = subprocess.Popen([sys.executable, "-m", "scaledeal"], cwd=ROOT, env=self.env,
-                                        stderr=subprocess.PIPE, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "scaledeal"], cwd=ROOT, env=self.env, stderr=subprocess.PIPE, text=True
+        )
         self.admin = int(self.log_line("operators call").rpartition(":")[2])
 
     def beside(self) -> World:
@@ -184,8 +214,20 @@
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     def entries(self, **changes: object) -> list[dict[str, object]]:
-        return [{"name": f"s{i}", "address": s.address, "zone": "a", "type": "m", "group": i, "weight": 1.0,
-                 "status": "active", "since_ms": 0, **changes} for i, s in enumerate(self.servers)]
+        return [
+            {
+                "name": f"s{i}",
+                "address": s.address,
+                "zone": "a",
+                "type": "m",
+                "group": i,
+                "weight": 1.0,
+                "status": "active",
+                "since_ms": 0,
+                **changes,
+            }
+            for i, s in enumerate(self.servers)
+        ]
 
     def next_watch(self, line: Line) -> tuple[Line, str]:
         query = line.read()
@@ -198,8 +240,9 @@
     def tell(self, index: int, endpoints: list[dict[str, object]], snapshot: bool = False) -> None:
         """Answer the watch; return when the next one has come."""
         body = json.dumps({"index": index, "snapshot": snapshot, "endpoints": endpoints})
-        answer = (f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n"
-                  f"Content-Type: application/json\r\n\r\n{body}").encode()
+        answer = (
+            f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\nContent-Type: application/json\r\n\r\n{body}"
+        ).encode()
         while True:
             try:
                 self.watch.sock.sendall(answer)
@@ -300,9 +343,18 @@
     assert server.broke()
 
 
-@pytest.mark.parametrize("first", [
-    "GET / HTTP/1.1", "OPEN 1 2", "OPEN 1 2 c=none,d=5", "OPEN 1 2 c=browse,d=-1", "OPEN 1 2 c=browse,d=5,g",
-    "OPEN 1 2 c=browse,d=" + "9" * 4096, "\udcff"])
+@pytest.mark.parametrize(
+    "first",
+    [
+        "GET / HTTP/1.1",
+        "OPEN 1 2",
+        "OPEN 1 2 c=none,d=5",
+        "OPEN 1 2 c=browse,d=-1",
+        "OPEN 1 2 c=browse,d=5,g",
+        "OPEN 1 2 c=browse,d=" + "9" * 4096,
+        "\udcff",
+    ],
+)
 def test_what_is_no_request_is_answered_and_closed(world: World, first: str) -> None:
     client = world.client()
     client.sock.sendall(first.encode("utf-8", "surrogateescape") + b"\r\n")
@@ -353,7 +405,8 @@
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.name)
 def test_each_site_passes_up_for_standing_connections_and_serves_every_class_and_tenant(
-        tmp_path: Path, site: Site) -> None:
+    tmp_path: Path, site: Site
+) -> None:
     # Guards against a tenant told by its name, as the protocol of both sites has it, taken for no request, and
     # against a connection from before the start that is asked for before any list has named its server.
     world = World(tmp_path, known=False, settings=site.settings)
@@ -531,13 +584,18 @@
     kept = {name: told.pop(name) for name in list(told) if name.startswith(("relay_invariant_", "relay_wall_clock_"))}
     assert len(kept) == 2 * len(Rule) + 1 and not any(kept.values())
     assert len(ended) == len(EndCause) and {name: value for name, value in ended.items() if value} == {
-        'relay_ended_total{why="refused"}': 1}
+        'relay_ended_total{why="refused"}': 1
+    }
     assert told.pop("relay_loop_delays_total") <= 1 and told.pop("relay_loop_delay_max_ms") < 1000
     assert told.pop('relay_relayed_total{priority="browse"}') >= 2  # the module may have tried again
     assert told == {
-        'relay_fulfilled_total{priority="browse"}': 1, 'relay_throttled_total{priority="browse"}': 1,
+        'relay_fulfilled_total{priority="browse"}': 1,
+        'relay_throttled_total{priority="browse"}': 1,
         'relay_faulted_total{priority="browse"}': 0,
-        "relay_open_requests": 1, "relay_registry_entries": 1, "relay_out_of_rotation": 1}
+        "relay_open_requests": 1,
+        "relay_registry_entries": 1,
+        "relay_out_of_rotation": 1,
+    }
     standing[0].close()
     while figures()["relay_open_requests"]:
         pass
@@ -876,7 +934,7 @@
     server.sock.setblocking(False)
     sent = 0
     while select.select([], [server.sock], [], 0.5)[1]:
-        sent += server.sock.send(line[sent % len(line):] + line * 15)
+        sent += server.sock.send(line[sent % len(line) :] + line * 15)
         assert sent < 64_000_000, "never stopped"
     status = Path(f"/proc/{world.process.pid}/status").read_text()
     assert int(re.search(r"VmRSS:\s+(\d+)", status)[1]) < 100_000
@@ -887,20 +945,33 @@
         got += 1
 
 
-@pytest.mark.parametrize(("change", "told"), [
-    ({"PROXY_CONFIG": ""}, "PROXY_CONFIG"), ({"PROXY_CONFIG": "/nowhere"}, "nowhere"),
-    ({"PROXY_LISTEN": "here"}, "PROXY_LISTEN"), ({"PROXY_ADMIN": "here"}, "PROXY_ADMIN"),
-    ({"PROXY_LISTEN": "192.0.2.1:9"}, "PROXY_LISTEN"), ({"PROXY_ADMIN": "192.0.2.1:9"}, "PROXY_ADMIN"),
-    ({"text": json.dumps({"settings": SETTINGS, "admin": "x:y"})}, "PROXY_ADMIN"),
-    ({"PROXY_DISCOVERY": "1.2.3.4:x"}, "PROXY_DISCOVERY"), ({"PROXY_TRACE": "/nowhere/trace"}, "PROXY_TRACE"),
-    ({"text": "{"}, "PROXY_CONFIG"), ({"text": '{"settings":{"Siblings":"many"}}'}, "Siblings"),
-    ({"text": '{"settings":{}}'}, "classes"),
-])
+@pytest.mark.parametrize(
+    ("change", "told"),
+    [
+        ({"PROXY_CONFIG": ""}, "PROXY_CONFIG"),
+        ({"PROXY_CONFIG": "/nowhere"}, "nowhere"),
+        ({"PROXY_LISTEN": "here"}, "PROXY_LISTEN"),
+        ({"PROXY_ADMIN": "here"}, "PROXY_ADMIN"),
+        ({"PROXY_LISTEN": "192.0.2.1:9"}, "PROXY_LISTEN"),
+        ({"PROXY_ADMIN": "192.0.2.1:9"}, "PROXY_ADMIN"),
+        ({"text": json.dumps({"settings": SETTINGS, "admin": "x:y"})}, "PROXY_ADMIN"),
+        ({"PROXY_DISCOVERY": "1.2.3.4:x"}, "PROXY_DISCOVERY"),
+        ({"PROXY_TRACE": "/nowhere/trace"}, "PROXY_TRACE"),
+        ({"text": "{"}, "PROXY_CONFIG"),
+        ({"text": '{"settings":{"Siblings":"many"}}'}, "Siblings"),
+        ({"text": '{"settings":{}}'}, "classes"),
+    ],
+)
 def test_a_bad_start_ends_with_one_plain_line(tmp_path: Path, change: dict[str, str], told: str) -> None:
     text = change.get("text", json.dumps({"settings": SETTINGS}))
     (tmp_path / "config.json").write_text(text)
-    env = {**os.environ, "PROXY_CONFIG": str(tmp_path / "config.json"), "PROXY_LISTEN": "127.0.0.1:0",
-           "PROXY_DISCOVERY": "127.0.0.1:1", **change}
+    env = {
+        **os.environ,
+        "PROXY_CONFIG": str(tmp_path / "config.json"),
+        "PROXY_LISTEN": "127.0.0.1:0",
+        "PROXY_DISCOVERY": "127.0.0.1:1",
+        **change,
+    }
     call = [sys.executable, "-m", "scaledeal"]
     run = subprocess.run(call, cwd=ROOT, env=env, capture_output=True, text=True)
     assert run.returncode == 2 and run.stdout == ""
--- a/tests/test_resume_flows.py
+++ b/tests/test_resume_flows.py
@@ -368,6 +368,7 @@
 def test_a_malformed_offer_is_told(world: World, names: str) -> None:
     """A client that believes to be resumable, and is not, learns it at the worst time."""
     import socket
+
     world.add("s-0")
     with socket.create_connection(("127.0.0.1", world.port(world.relay())), timeout=10) as sock:
         sock.sendall(f"OPEN 1234 key c=overlay,d=1000,{names}\r\n".encode())
--- a/tests/test_resume_model.py
+++ b/tests/test_resume_model.py
@@ -30,13 +30,16 @@
     assert ends == {"server 0 answers", "server 1 answers"}
 
 
-@pytest.mark.parametrize(("name", "breaks", "steps_to"), [
-    ("a fence left out", "one owner at an epoch", 2),
-    ("an epoch not compared", "no line twice", 9),
-    ("an acknowledgement before the write", "no line lost", 3),
-    ("an answer that nobody granted", "one final answer", 9),
-    ("a commitment that is not renewed", "a resume is honoured once", 3),
-])
+@pytest.mark.parametrize(
+    ("name", "breaks", "steps_to"),
+    [
+        ("a fence left out", "one owner at an epoch", 2),
+        ("an epoch not compared", "no line twice", 9),
+        ("an acknowledgement before the write", "no line lost", 3),
+        ("an answer that nobody granted", "one final answer", 9),
+        ("a commitment that is not renewed", "a resume is honoured once", 3),
+    ],
+)
 def test_mutants_are_caught_with_a_shortest_trace(name: str, breaks: str, steps_to: int) -> None:
     """A checker that stays silent on these proves nothing by staying silent on the sound one."""
     found = check_safety(protocol(MUTANTS[name]), 60_000)["properties"][breaks]
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -88,10 +88,16 @@
     assert reg.claim(begun(), shown(1), "b", LATER, 2 * LATER) is Why.EXPIRED
 
 
-@pytest.mark.parametrize("bad", [
-    Progress(0, 0, b"x" * (reg.MOST_STATE + 1)), Progress(0, 1, outbox=((2, b""),)), Progress(0, 2, outbox=((1, b""),)),
-    Progress(0, 99, outbox=tuple((n, b"") for n in range(35, 100))), Progress(0, 1, outbox=((1, b"x" * 5000),)),
-])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        Progress(0, 0, b"x" * (reg.MOST_STATE + 1)),
+        Progress(0, 1, outbox=((2, b""),)),
+        Progress(0, 2, outbox=((1, b""),)),
+        Progress(0, 99, outbox=tuple((n, b"") for n in range(35, 100))),
+        Progress(0, 1, outbox=((1, b"x" * 5000),)),
+    ],
+)
 def test_progress_is_bounded_and_without_gaps(bad: Progress) -> None:
     assert reg.record(begun(), 1, bad, LATER) is Why.BOUNDS
 
@@ -169,7 +175,7 @@
 
     @invariant()
     def once_and_in_order(self) -> None:
-        assert self.got == self.sent[:len(self.got)]
+        assert self.got == self.sent[: len(self.got)]
         assert self.box.bytes == sum(len(text) for _, text in self.box.lines)
 
 
@@ -185,8 +191,9 @@
 
 
 def token(**other: Any) -> Token:
-    return msgspec.structs.replace(Token("s-1", 3, "overlay", "sheet-7", 0, "t-1", "store", 5, 6, 0, 100 * SECOND,
-                                         commit(SECRET)), **other)
+    return msgspec.structs.replace(
+        Token("s-1", 3, "overlay", "sheet-7", 0, "t-1", "store", 5, 6, 0, 100 * SECOND, commit(SECRET)), **other
+    )
 
 
 def judged(text: str, sealer: Sealer, **other: Any) -> Any:
@@ -195,8 +202,12 @@
         return found
     usual = {"secrets": (SECRET,), "request_class": "overlay", "tenant": 0, "owner": "store", "now": SECOND}
     presented = {**usual, **other}
-    return judge(found, Presented(presented["secrets"], presented["request_class"], presented["tenant"]),
-                 presented["owner"], presented["now"])
+    return judge(
+        found,
+        Presented(presented["secrets"], presented["request_class"], presented["tenant"]),
+        presented["owner"],
+        presented["now"],
+    )
 
 
 def test_a_token_for_its_holder() -> None:
@@ -206,11 +217,20 @@
     assert len(text) <= LONGEST and SECRET.hex() not in repr(token()) and "sheet" not in repr(token())
 
 
-@pytest.mark.parametrize(("other", "why"), [
-    ({"secrets": (bytes(32),)}, Refused.HOLDER), ({"secrets": ()}, Refused.HOLDER),
-    ({"secrets": (SECRET[:-1],)}, Refused.HOLDER), ({"secrets": (SECRET,) * 3}, Refused.HOLDER),
-    ({"now": 100 * SECOND}, Refused.EXPIRED), ({"now": -6 * SECOND}, Refused.FUTURE),
-    ({"request_class": "notes"}, Refused.OTHER), ({"tenant": 1}, Refused.OTHER), ({"owner": "x"}, Refused.ELSEWHERE)])
+@pytest.mark.parametrize(
+    ("other", "why"),
+    [
+        ({"secrets": (bytes(32),)}, Refused.HOLDER),
+        ({"secrets": ()}, Refused.HOLDER),
+        ({"secrets": (SECRET[:-1],)}, Refused.HOLDER),
+        ({"secrets": (SECRET,) * 3}, Refused.HOLDER),
+        ({"now": 100 * SECOND}, Refused.EXPIRED),
+        ({"now": -6 * SECOND}, Refused.FUTURE),
+        ({"request_class": "notes"}, Refused.OTHER),
+        ({"tenant": 1}, Refused.OTHER),
+        ({"owner": "x"}, Refused.ELSEWHERE),
+    ],
+)
 def test_a_token_that_may_not_be_used(other: dict[str, Any], why: Refused) -> None:
     """Of another, late, of the future, for another class or tenant, of another owner: each told plainly."""
     sealer = Sealer(KEYS, 1)
@@ -232,7 +252,7 @@
     text = sealer.seal(token())
     for at in range(len(text)):
         other = "A" if text[at] != "A" else "B"
-        assert judged(text[:at] + other + text[at + 1:], sealer) in (Refused.MALFORMED, Refused.KEY)
+        assert judged(text[:at] + other + text[at + 1 :], sealer) in (Refused.MALFORMED, Refused.KEY)
         assert judged(text[:at], sealer) in (Refused.MALFORMED, Refused.KEY)
     for bad in ("", "é", "A" * (LONGEST + 1), text + "=", text + "\n", " " + text):
         assert sealer.open(bad) is Refused.MALFORMED
@@ -275,12 +295,19 @@
     return store.answer(session, number) if word == "answer" else store.expire(5 + number)
 
 
-@given(st.lists(st.tuples(st.sampled_from("abc"), st.sampled_from(["begin", "claim", "record", "answer", "expire"]),
-                          st.integers(1, 3)), max_size=25))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from("abc"), st.sampled_from(["begin", "claim", "record", "answer", "expire"]), st.integers(1, 3)
+        ),
+        max_size=25,
+    )
+)
 @settings(max_examples=60, derandomize=True, deadline=None)
 def test_memory_and_ledger_say_the_same(calls: list[tuple[str, str, int]]) -> None:
     """Two stores of one interface that differ are two protocols."""
     import tempfile
+
     with tempfile.TemporaryDirectory() as folder:
         both = Memory("m", 2), Ledger(Path(folder) / "ledger", "l", 2)
         for session, word, number in calls:
@@ -302,8 +329,11 @@
     for number in range(10**6):
         session = f"s{number % 5}"
         held = ledger.get(session)
-        done = ledger.begin(session, "h", LATER) if held is None else ledger.claim(
-            session, shown(held.epoch, held.commitment), "h", 0, LATER)
+        done = (
+            ledger.begin(session, "h", LATER)
+            if held is None
+            else ledger.claim(session, shown(held.epoch, held.commitment), "h", 0, LATER)
+        )
         assert isinstance(done, Register)
         os.write(out, f"{session} {done.epoch}\n".encode())
 
@@ -361,7 +391,7 @@
         if number % 3:
             bad[chance.randrange(len(bad))] ^= chance.randrange(1, 256)
         else:
-            bad = bad[:chance.randrange(1, len(bad))]
+            bad = bad[: chance.randrange(1, len(bad))]
         path.write_bytes(bytes(bad))
         path.with_name(path.name + "-grants").write_bytes(mark)
         try:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,11 +11,14 @@
 
 RESULTS = [r for r in api.Result if r is not api.Result.OK]
 STEPS = ["arrive", "arrive", "arrive", "establish", "end", "wait", "leave", "list", "note", "probe"]
-STEP = st.tuples(st.sampled_from(STEPS),
-                 st.integers(0, 99), st.integers(0, 99))
-KINDS = [(api.Semantics.REPEATABLE, api.Scope.ALL), (api.Semantics.ONCE, api.Scope.ALL),
-         (api.Semantics.KEYED, api.Scope.ALL), (api.Semantics.KEYED, api.Scope.ZONE),
-         (api.Semantics.KEYED, api.Scope.CELL)]
+STEP = st.tuples(st.sampled_from(STEPS), st.integers(0, 99), st.integers(0, 99))
+KINDS = [
+    (api.Semantics.REPEATABLE, api.Scope.ALL),
+    (api.Semantics.ONCE, api.Scope.ALL),
+    (api.Semantics.KEYED, api.Scope.ALL),
+    (api.Semantics.KEYED, api.Scope.ZONE),
+    (api.Semantics.KEYED, api.Scope.CELL),
+]
 
 
 def play(driver: Driver, step: tuple[str, int, int], number: int) -> None:
@@ -23,8 +26,7 @@
     waiting = driver.out()
     standing = [n for n, j in driver.jobs.items() if j.stands and j.tries[-1].result is None]
     if what == "arrive":
-        driver.arrive(f"r{number}", a % 2, key=f"k{b % 5}", group=f"g{b % 3}", mid_flow=a % 9 == 7,
-                      returning=b % 2 > 0)
+        driver.arrive(f"r{number}", a % 2, key=f"k{b % 5}", group=f"g{b % 3}", mid_flow=a % 9 == 7, returning=b % 2 > 0)
     elif what == "establish" and waiting:
         driver.establish(waiting[a % len(waiting)], b * MS)
     elif what == "end" and waiting + standing:
@@ -50,8 +52,13 @@
 @given(steps=st.lists(STEP, min_size=25, max_size=60), seed=st.integers(0, 99))
 def test_one_answer_in_time_and_no_effect_twice_and_drains_kept(semantics, scope, steps, seed):
     classes = tuple(replace(c, semantics=semantics, scope=scope, window=SECOND) for c in BASE.classes)
-    settings = replace(BASE, classes=classes, groups=True, report_source=api.Source.PROBES,
-                       report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT))
+    settings = replace(
+        BASE,
+        classes=classes,
+        groups=True,
+        report_source=api.Source.PROBES,
+        report_fields=(api.Field.UTILISATION, api.Field.INFLIGHT),
+    )
     driver = Driver(settings, seed)
     for number, step in enumerate(steps):
         play(driver, step, number)
@@ -60,8 +67,13 @@
     assert all(job.over or job.stands for job in driver.jobs.values())
 
 
-@given(gap=st.integers(20, 400), siblings=st.integers(1, 8), age=st.integers(0, 15), failing=st.booleans(),
-       seed=st.integers(0, 99))
+@given(
+    gap=st.integers(20, 400),
+    siblings=st.integers(1, 8),
+    age=st.integers(0, 15),
+    failing=st.booleans(),
+    seed=st.integers(0, 99),
+)
 def test_a_cold_server_gets_no_more_than_its_budget(gap, siblings, age, failing, seed):
     driver = Driver(replace(BASE, siblings=siblings), seed, servers=5)
     for i in range(4 * SECOND // (gap * MS)):
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -126,8 +126,9 @@
 
     def __init__(self) -> None:
         self.bench = Bench()
-        self.operators = Operators(self.bench.reactor, self.bench.pool, {b"PING": lambda: "ok serving",
-                                                                        b"INFO": lambda: "ok\na 1\neof"})
+        self.operators = Operators(
+            self.bench.reactor, self.bench.pool, {b"PING": lambda: "ok serving", b"INFO": lambda: "ok\na 1\neof"}
+        )
 
     def caller(self, sends: bytes = b"") -> Wire:
         made = Wire(self.bench.reactor, self.operators.buildProtocol(None))
@@ -135,10 +136,21 @@
         return made
 
 
-@pytest.mark.parametrize(("sent", "told"), [
-    (b"PING\r\n", b"ok serving"), (b"PING\n", b"ok serving"), (b"PING\nINFO\n", b"ok serving"),
-    (b"INFO\n", b"ok"), (b"ping\n", b"fail"), (b"\n", b"fail"), (b"GET / HTTP/1.1\r\n\r\n", b"fail"),
-    (b"\xff\x00\n", b"fail"), (b"x" * 5000, b"fail"), (b"x" * 5000 + b"\n", b"fail")])
+@pytest.mark.parametrize(
+    ("sent", "told"),
+    [
+        (b"PING\r\n", b"ok serving"),
+        (b"PING\n", b"ok serving"),
+        (b"PING\nINFO\n", b"ok serving"),
+        (b"INFO\n", b"ok"),
+        (b"ping\n", b"fail"),
+        (b"\n", b"fail"),
+        (b"GET / HTTP/1.1\r\n\r\n", b"fail"),
+        (b"\xff\x00\n", b"fail"),
+        (b"x" * 5000, b"fail"),
+        (b"x" * 5000 + b"\n", b"fail"),
+    ],
+)
 def test_a_call_gets_one_answer_and_the_end(sent, told):
     calls = Calls()
     caller = calls.caller(sent)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -11,10 +11,12 @@
 from scaledeal.policy import Balancer
 from scaledeal.wirehost import Host, WireError, read_settings
 
-HELLO = ("HELLO 7 Classes.count=1 Classes.0.Aim=300000000 Classes.0.Deadline=2000000000 Classes.0.Worth=2.0 "
-         "Classes.0.Semantics=by_key Classes.0.KeyScope=zone Classes.0.Window=5000000000 Caps.MaxAttempts=3 "
-         "Caps.Cancelling=true Siblings=2 Discovery=on_request Some.New.Key=1 Specifics.MessageAim=50000000 "
-         "Specifics.TenantQuotaConnections=null,12.5 Accounts.count=2 Rules.ColdFrom=0.2")
+HELLO = (
+    "HELLO 7 Classes.count=1 Classes.0.Aim=300000000 Classes.0.Deadline=2000000000 Classes.0.Worth=2.0 "
+    "Classes.0.Semantics=by_key Classes.0.KeyScope=zone Classes.0.Window=5000000000 Caps.MaxAttempts=3 "
+    "Caps.Cancelling=true Siblings=2 Discovery=on_request Some.New.Key=1 Specifics.MessageAim=50000000 "
+    "Specifics.TenantQuotaConnections=null,12.5 Accounts.count=2 Rules.ColdFrom=0.2"
+)
 LIST = "MEMBERS warm_copy 3 2\nROW 10.0.0.1:80 - 0 1 1 live 0\nROW 10.0.0.2:80 6100 0 0 1.5 quiescing 1"
 START = f"FRAME 1000\nTO 4\n{HELLO}\n{LIST}\nEOF_BATCH\n"
 
@@ -30,18 +32,22 @@
 
 
 def test_a_request_is_sent_established_and_finished():
-    lines = serve(START + "FRAME 2000\nTO 4\nARRIVAL r-1 k:a 2000002000 - 0 0 - 0\nEOF_BATCH\n"
-                  "FRAME 3000\nTO 4\nHEADERS r-1 10.0.0.1:80 1000 0\nEOF_BATCH\n"
-                  "FRAME 4000\nTO 4\nINTERIM r-1 0 10.0.0.1:80 1 812.5\nINTERIM r-1 0 10.0.0.1:80 9 1\n"
-                  "COMPLETED r-1 0 10.0.0.1:80 done 2000 1 -\nEOF_BATCH\n")
+    lines = serve(
+        START + "FRAME 2000\nTO 4\nARRIVAL r-1 k:a 2000002000 - 0 0 - 0\nEOF_BATCH\n"
+        "FRAME 3000\nTO 4\nHEADERS r-1 10.0.0.1:80 1000 0\nEOF_BATCH\n"
+        "FRAME 4000\nTO 4\nINTERIM r-1 0 10.0.0.1:80 1 812.5\nINTERIM r-1 0 10.0.0.1:80 9 1\n"
+        "COMPLETED r-1 0 10.0.0.1:80 done 2000 1 -\nEOF_BATCH\n"
+    )
     assert lines[:3] == ["ON_BEHALF 4", "TRACK 1", "SCHEDULE 250000000 0"]
     assert lines[4:6] == ["ON_BEHALF 4", "TRANSMIT r-1 10.0.0.1:80 300000000"]
     assert lines[6:] == ["END", "END", "END", ""]
 
 
 def test_a_restarted_instance_knows_nothing_of_before():
-    lines = serve(START + "FRAME 2000\nTO 4\nARRIVAL r-1 k:a 2000002000 - 0 0 - 0\nHALT\n"
-                  f"{HELLO}\nMEMBERS warm_copy 0 0\nCOMPLETED r-1 0 10.0.0.1:80 etimedout 1 0 -\nEOF_BATCH\n")
+    lines = serve(
+        START + "FRAME 2000\nTO 4\nARRIVAL r-1 k:a 2000002000 - 0 0 - 0\nHALT\n"
+        f"{HELLO}\nMEMBERS warm_copy 0 0\nCOMPLETED r-1 0 10.0.0.1:80 etimedout 1 0 -\nEOF_BATCH\n"
+    )
     assert "REJECT r-1 0" not in lines and "ERROR r-1" not in lines
 
 
@@ -56,21 +62,24 @@
     assert settings.report_source is api.Source.NONE
 
 
-@pytest.mark.parametrize(("text", "told"), [
-    ("FRAME x\nEOF_BATCH\n", "clock"),
-    ("HELLO 1\n", "FRAME line was expected"),
-    ("FRAME 1\nTO 1\n", "ends inside a batch"),
-    ("FRAME 1\nFIRED 0\nEOF_BATCH\n", "no TO line"),
-    ("FRAME 1\nTO 1\nFIRED 0\nEOF_BATCH\n", "no HELLO"),
-    (START + "FRAME 2\nTO 4\nNONSENSE 1\nEOF_BATCH\n", "unknown message"),
-    (START + "FRAME 2\nTO 4\nARRIVAL r-1 k:a\nEOF_BATCH\n", "Options is missing"),
-    (START + "FRAME 2\nTO 4\nARRIVAL r-1 k:a soon - 0 0 - 0\nEOF_BATCH\n", "GiveUpAt"),
-    (START + "FRAME 2\nTO 4\nCOMPLETED r-1 0 s odd 1 1 -\nEOF_BATCH\n", "Verdict"),
-    (START + "FRAME 2\nTO 4\nPROBE_DONE s done 1 1,x\nEOF_BATCH\n", "Metrics"),
-    (START + "FRAME 2\nTO 4\nMEMBERS incr 1 1\nEOF_BATCH\n", "ROW"),
-    ("FRAME 1\nTO 1\nHELLO 1 Siblings=many\nEOF_BATCH\n", "Siblings"),
-    ("FRAME 1\nTO 1\nHELLO 1 Siblings\nEOF_BATCH\n", "without a value"),
-])
+@pytest.mark.parametrize(
+    ("text", "told"),
+    [
+        ("FRAME x\nEOF_BATCH\n", "clock"),
+        ("HELLO 1\n", "FRAME line was expected"),
+        ("FRAME 1\nTO 1\n", "ends inside a batch"),
+        ("FRAME 1\nFIRED 0\nEOF_BATCH\n", "no TO line"),
+        ("FRAME 1\nTO 1\nFIRED 0\nEOF_BATCH\n", "no HELLO"),
+        (START + "FRAME 2\nTO 4\nNONSENSE 1\nEOF_BATCH\n", "unknown message"),
+        (START + "FRAME 2\nTO 4\nARRIVAL r-1 k:a\nEOF_BATCH\n", "Options is missing"),
+        (START + "FRAME 2\nTO 4\nARRIVAL r-1 k:a soon - 0 0 - 0\nEOF_BATCH\n", "GiveUpAt"),
+        (START + "FRAME 2\nTO 4\nCOMPLETED r-1 0 s odd 1 1 -\nEOF_BATCH\n", "Verdict"),
+        (START + "FRAME 2\nTO 4\nPROBE_DONE s done 1 1,x\nEOF_BATCH\n", "Metrics"),
+        (START + "FRAME 2\nTO 4\nMEMBERS incr 1 1\nEOF_BATCH\n", "ROW"),
+        ("FRAME 1\nTO 1\nHELLO 1 Siblings=many\nEOF_BATCH\n", "Siblings"),
+        ("FRAME 1\nTO 1\nHELLO 1 Siblings\nEOF_BATCH\n", "without a value"),
+    ],
+)
 def test_malformed_input_is_named(text, told):
     with pytest.raises(WireError, match=told):
         serve(text)
@@ -78,8 +87,9 @@
 
 def test_the_process_ends_with_a_plain_message():
     call = [sys.executable, "-m", "scaledeal.wirehost"]
-    run = subprocess.run(call, input="FRAME 1\nTO 1\nODD\nEOF_BATCH\n", capture_output=True, text=True,
-                         cwd=Path(__file__).parent.parent)
+    run = subprocess.run(
+        call, input="FRAME 1\nTO 1\nODD\nEOF_BATCH\n", capture_output=True, text=True, cwd=Path(__file__).parent.parent
+    )
     assert run.returncode != 0
     assert run.stderr.count("\n") == 1 and "line 3" in run.stderr and "ODD" in run.stderr
 
