--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -210,8 +210,8 @@
             client.id, client.asking = f"c{client.number}.0", True
             self.fleet.kernel.after(
                 int(draw.random() * 100 * MS) + 20 * MS,
-                lambda c=client, d=door, s=places[client.number].name: self._come(c, d, s),
-            )  # type: ignore[misc]
+                lambda c=client, d=door, s=places[client.number].name: self._come(c, d, s),  # type: ignore[misc]
+            )
 
     def _bad_comes(self) -> None:
         if self.fleet.kernel.now >= self.fleet.day.seconds:
--- a/scaledeal/lab/world/clients.py
+++ b/scaledeal/lab/world/clients.py
@@ -276,12 +276,12 @@
     def held(self, client: Client, seat: object) -> Held:
         """Return what a server holds of a client's connection."""
         return Held(
-            seat,
+            seat,  # type: ignore[arg-type]
             client.id,
             client.cls,
             client.group,
             client.load,
-            client.draw,  # type: ignore[arg-type]
+            client.draw,
             client.cell,
         )
 
--- a/scaledeal/lab/world/troubles.py
+++ b/scaledeal/lab/world/troubles.py
@@ -71,8 +71,9 @@
     steps = [going[at : at + step] for at in range(0, len(going), step)]
     for number, servers in enumerate(steps):
         fleet.kernel.after(
-            lasts * number // max(1, len(steps)), lambda servers=servers: _replace(fleet, servers, trouble, draw)
-        )  # type: ignore[misc]
+            lasts * number // max(1, len(steps)),
+            lambda servers=servers: _replace(fleet, servers, trouble, draw),  # type: ignore[misc]
+        )
 
 
 def _replace(fleet: Fleet, servers: list[TileServer], trouble: Trouble, draw: np.random.Generator) -> None:
