--- a/benchmarks/quic_path.py
+++ b/benchmarks/quic_path.py
@@ -116,7 +116,7 @@
     def first(self, dcid: bytes) -> bytes:
         """Return a client's Initial with its whole ClientHello."""
         keys = InitialKeys(V1, dcid)
-        payload = frames.crypto(0, self.hello)
+        payload = frames.encode_crypto(0, self.hello)
         pad = 1200 - len(initial(keys.client, V1, dcid, b"client00", 0, payload))
         return initial(keys.client, V1, dcid, b"client00", 0, payload.ljust(len(payload) + pad, b"\0"))
 
@@ -127,7 +127,7 @@
         cid = self.codec.new(self.sid)
         at = packet.long_packet(datagram)
         self.server.sendto(
-            initial(InitialKeys(V1, at.dcid).server, V1, at.scid, cid, 0, frames.crypto(0, b"\2")), source
+            initial(InitialKeys(V1, at.dcid).server, V1, at.scid, cid, 0, frames.encode_crypto(0, b"\2")), source
         )
         sock.recv(65_536)
         if prove:
@@ -191,7 +191,7 @@
     peer.connect(("127.0.0.1", 1), now=0.0)
     datagram = peer.datagrams_to_send(now=0.0)[0][0]
     at = packet.long_packet(datagram)
-    return frames.read(InitialKeys(V1, at.dcid).client.open(datagram, at)[1]).crypto[0].data
+    return frames.parse_initial_payload(InitialKeys(V1, at.dcid).client.open(datagram, at)[1]).crypto[0].data
 
 
 class Bench:
--- a/scaledeal/quic/core/opening.py
+++ b/scaledeal/quic/core/opening.py
@@ -20,7 +20,7 @@
         self.keys = InitialKeys(version, dcid)
         self.scid = b""
         self.stream = hello.CryptoStream()
-        self.hello: hello.Hello | None = None
+        self.hello: hello.ClientHello | None = None
         self.datagrams: list[bytes] = []
         self.held = 0  # bytes of them
         self.number = -1  # the largest packet number that the client has used
@@ -40,7 +40,7 @@
 
     def _read(self, datagram: bytes, packet: Packet) -> None:
         number, payload = self.keys.client.open(datagram, packet)
-        heard = frames.read(payload)
+        heard = frames.parse_initial_payload(payload)
         if self.scid and packet.scid != self.scid:
             raise MalformedError("another source id")
         self.number, self.scid = max(self.number, number), packet.scid
@@ -48,8 +48,8 @@
             raise MalformedError("closed by its client")
         for piece in heard.crypto:
             self.stream.add(piece)
-        if self.hello is None and (body := hello.whole(self.stream.beginning())) is not None:
-            self.hello = hello.read(body)
+        if self.hello is None and (body := hello.client_hello_body(self.stream.contiguous_prefix())) is not None:
+            self.hello = hello.parse_client_hello(body)
 
     def _keep(self, datagram: bytes) -> None:
         # Guards against repeats that push out what the server needs, and against a flood in one flow's name.
--- a/scaledeal/quic/core/router.py
+++ b/scaledeal/quic/core/router.py
@@ -285,7 +285,7 @@
             opening.dcid,
             opening.scid,
             opening.number,
-            frames.close(code).ljust(LEAST_INITIAL, b"\0"),
+            frames.encode_connection_close(code).ljust(LEAST_INITIAL, b"\0"),
         )
         return [ToServer(path, (last,)), Shut(path)]
 
@@ -358,7 +358,7 @@
             if each.kind in (Kind.RETRY, Kind.NEGOTIATION):
                 answers = True
             elif each.kind is Kind.INITIAL:
-                heard = frames.read(flow.opening.keys.server.open(datagram, each)[1])
+                heard = frames.parse_initial_payload(flow.opening.keys.server.open(datagram, each)[1])
                 if heard.close is not None:
                     return [TurnedAway(flow, heard.close.code == frames.CONNECTION_REFUSED)]
                 answers |= bool(heard.crypto)
@@ -416,4 +416,6 @@
 def _closing(opening: Opening, code: int, reason: bytes) -> bytes:
     """Return a server's CONNECTION_CLOSE in an Initial that the client takes."""
     own = secrets.token_bytes(LEAST_DCID)
-    return protection.initial(opening.keys.server, opening.version, opening.scid, own, 0, frames.close(code, reason))
+    return protection.initial(
+        opening.keys.server, opening.version, opening.scid, own, 0, frames.encode_connection_close(code, reason)
+    )
--- a/scaledeal/quic/core/rules.py
+++ b/scaledeal/quic/core/rules.py
@@ -6,7 +6,7 @@
 
 from scaledeal.operator.types import Quic, QuicRule
 from scaledeal.quic.ids.tokens import Source
-from scaledeal.quic.wire.hello import Hello
+from scaledeal.quic.wire.hello import ClientHello
 
 
 class Wish(msgspec.Struct, frozen=True):
@@ -27,7 +27,7 @@
         self.rules = quic.rule
         self.classes = classes
 
-    def wish(self, hello: Hello, source: Source, dcid: bytes) -> Wish | None:
+    def wish(self, hello: ClientHello, source: Source, dcid: bytes) -> Wish | None:
         """Return what the first matching rule asks for; None where none matches."""
         rule = next((each for each in self.rules if _matches(each, hello)), None)
         if rule is None or rule.class_name not in self.classes:
@@ -37,7 +37,7 @@
         return Wish(number, deadline, _key(rule, hello, source, dcid), _group(rule, hello), rule.tenant, rule.name)
 
 
-def _matches(rule: QuicRule, hello: Hello) -> bool:
+def _matches(rule: QuicRule, hello: ClientHello) -> bool:
     named = not rule.sni or any(name_matches(pattern, hello.server_name) for pattern in rule.sni)
     return named and (not rule.alpn or any(each in hello.protocols for each in rule.alpn))
 
@@ -50,14 +50,14 @@
     return name == pattern
 
 
-def _key(rule: QuicRule, hello: Hello, source: Source, dcid: bytes) -> str:
+def _key(rule: QuicRule, hello: ClientHello, source: Source, dcid: bytes) -> str:
     if rule.key_from == "sni":
         return hello.server_name
     # An address without its port: all of a client's flows rank the servers alike.
     return source[0] if rule.key_from == "address" else dcid.hex()
 
 
-def _group(rule: QuicRule, hello: Hello) -> str:
+def _group(rule: QuicRule, hello: ClientHello) -> str:
     if rule.group_from == "none":
         return ""
     return hello.server_name if rule.group_from == "sni" else hello.server_name.partition(".")[0]
--- a/scaledeal/quic/wire/__init__.py
+++ b/scaledeal/quic/wire/__init__.py
@@ -1,1 +1,1 @@
-"""QUIC's bytes: packets, Initial protection, frames and the ClientHello. No I/O, no state between calls."""
+"""Codecs for QUIC packets, Initial packet protection, frames and the ClientHello; pure functions without I/O."""
--- a/scaledeal/quic/wire/packet.py
+++ b/scaledeal/quic/wire/packet.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from scaledeal.quic.wire.buffer import MalformedError, varint, varint_at
+from scaledeal.quic.wire.buffer import MalformedError, decode_varint, encode_varint
 
 V1 = 0x00000001
 V2 = 0x6B3343CF
@@ -93,9 +93,9 @@
         return Packet(kind, version, dcid, scid, datagram[at:-16], start, len(datagram) - 16, len(datagram))
     token = b""
     if kind is Kind.INITIAL:
-        length, at = varint_at(datagram, at)
+        length, at = decode_varint(datagram, at)
         token, at = datagram[at : at + length], at + length
-    length, at = varint_at(datagram, at)
+    length, at = decode_varint(datagram, at)
     if at + length > len(datagram):
         raise MalformedError("ends too soon")
     return Packet(kind, version, dcid, scid, token, start, at, at + length)
@@ -133,7 +133,7 @@
 def long_header(kind: Kind, version: int, dcid: bytes, scid: bytes, token: bytes, length: int) -> bytes:
     """Return the header of an Initial or Handshake packet with a packet number of four bytes."""
     first = LONG | FIXED | type_bits(kind, version) << 4 | 3
-    told = varint(len(token)) + token if kind is Kind.INITIAL else b""
+    told = encode_varint(len(token)) + token if kind is Kind.INITIAL else b""
     # Two bytes for the length in any case, so that the header's size does not hang on it.
     return bytes((first,)) + version.to_bytes(4, "big") + _ids(dcid, scid) + told + (length | 0x4000).to_bytes(2, "big")
 
--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -20,7 +20,7 @@
     return initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
 
 
-ASKS, CLOSES = from_client(frames.crypto(0, HELLO)), from_client(frames.close(0))
+ASKS, CLOSES = from_client(frames.encode_crypto(0, HELLO)), from_client(frames.encode_connection_close(0))
 
 
 def test_attempts() -> None:
@@ -46,9 +46,9 @@
 
 def test_answers() -> None:
     """None, one that is repeated, one of two servers, and a refusal behind a service."""
-    hello = frames.crypto(0, b"\2")
+    hello = frames.encode_crypto(0, b"\2")
     served, other = from_server(hello, b"server-a"), from_server(hello, b"server-b")
-    closed = from_server(frames.close(2), b"server-a")
+    closed = from_server(frames.encode_connection_close(2), b"server-a")
     for said, broken in (((served, served), 0), ((closed, closed), 0), ((served, other), 1), ((served, closed), 1)):
         record = Record()
         assert record.unanswered([DCID])
--- a/tests/test_quic_router.py
+++ b/tests/test_quic_router.py
@@ -19,13 +19,13 @@
 from scaledeal.quic.ids.keys import new_ring
 from scaledeal.quic.ids.servers import server_id
 from scaledeal.quic.wire import frames, packet
-from scaledeal.quic.wire.hello import Hello
+from scaledeal.quic.wire.hello import ClientHello
 from scaledeal.quic.wire.packet import V1
 from scaledeal.quic.wire.protection import InitialKeys, initial
 
 RING = new_ring()
 CODEC = RING.codecs()[0]
-HELLO = frames.read(CLIENT_CRYPTO).crypto[0].data
+HELLO = frames.parse_initial_payload(CLIENT_CRYPTO).crypto[0].data
 IDLE = 30 * SECOND
 NAMES = {"s-0", "s-1", "s-2"}
 
@@ -52,7 +52,7 @@
 ) -> bytes:
     """Return a client's Initial with a part of its ClientHello."""
     start = part.indices(len(HELLO))[0]
-    payload = frames.crypto(start, HELLO[part])
+    payload = frames.encode_crypto(start, HELLO[part])
     short = initial(InitialKeys(V1, dcid).client, V1, dcid, scid, number, payload, token)
     return initial(
         InitialKeys(V1, dcid).client,
@@ -168,9 +168,9 @@
             return
         payload = {
             "ack": b"\2\0\0\0\0",
-            "hello": frames.crypto(0, b"\2\0\0\0"),
-            "refused": frames.close(2),
-            "failed": frames.close(1),
+            "hello": frames.encode_crypto(0, b"\2\0\0\0"),
+            "refused": frames.encode_connection_close(2),
+            "failed": frames.encode_connection_close(1),
             "noise": b"",
         }[word]
         scid = CODEC.new(server_id(flow.server, 8))
@@ -290,7 +290,7 @@
     made.attempt(flow, name, 0)
     assert flow.attempt is not None
     cid = CODEC.new(server_id(name, 8))
-    made.from_server(0, flow.attempt, from_server(flow, cid, frames.crypto(0, b"x")))
+    made.from_server(0, flow.attempt, from_server(flow, cid, frames.encode_crypto(0, b"x")))
     return flow, cid
 
 
@@ -422,7 +422,7 @@
     flow = asked(made, b"firstone")
     made.attempt(flow, "s-0", 0)
     assert flow.attempt is not None
-    made.from_server(0, flow.attempt, from_server(flow, b"\xffstrange", frames.crypto(0, b"x")))
+    made.from_server(0, flow.attempt, from_server(flow, b"\xffstrange", frames.encode_crypto(0, b"x")))
     assert made.foreign == 1
     assert kinds(made.from_client(0, 0, ("127.0.0.1", 1), short(b"\xffstrange"))) == ["ToServer"]
     assert kinds(made.from_client(0, 0, ("127.0.0.5", 1), short(b"\xffstrange"))) == ["Drop"]
@@ -502,11 +502,11 @@
         QuicRule(name="r", class_name="browse"),
     )
     placing = Placing(Quic(listen="h:1", keys="k", rule=rules), {"browse": (0, 3 * SECOND), "overlay": (1, SECOND)})
-    one = placing.wish(Hello("m1.o.example", ()), ("h", 1), b"\1\2")
+    one = placing.wish(ClientHello("m1.o.example", ()), ("h", 1), b"\1\2")
     assert one is not None and (one.request_class, one.deadline) == (1, SECOND)
     assert (one.key, one.group) == ("m1.o.example", "m1")
-    two = placing.wish(Hello("x.example", ("z", "p")), ("h", 1), b"\1\2")
+    two = placing.wish(ClientHello("x.example", ("z", "p")), ("h", 1), b"\1\2")
     assert two is not None and (two.rule, two.key, two.group) == ("p", "0102", "x.example")
-    three = placing.wish(Hello("", ()), ("h", 1), b"\1\2")
+    three = placing.wish(ClientHello("", ()), ("h", 1), b"\1\2")
     assert three is not None and (three.rule, three.key, three.group) == ("r", "h", "")
-    assert placing.wish(Hello("", ("q",)), ("h", 1), b"") is None
+    assert placing.wish(ClientHello("", ("q",)), ("h", 1), b"") is None
--- a/tests/test_quic_wire.py
+++ b/tests/test_quic_wire.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from scaledeal.quic.wire import frames, hello, packet
-from scaledeal.quic.wire.buffer import MalformedError, Reader, varint
+from scaledeal.quic.wire.buffer import MalformedError, Reader, encode_varint
 from scaledeal.quic.wire.packet import V1, V2, Kind
 from scaledeal.quic.wire.protection import InitialKeys, Keys, Suite, initial, retry_tag
 
@@ -47,16 +47,16 @@
     keys = InitialKeys(V1, DCID)
     sealed = initial(keys.client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
     number, payload = keys.client.open(sealed, packet.long_packet(sealed))
-    heard = frames.read(payload)
-    body = hello.whole(heard.crypto[0].data)
+    heard = frames.parse_initial_payload(payload)
+    body = hello.client_hello_body(heard.crypto[0].data)
     assert number == 2 and body is not None
-    assert hello.read(body) == hello.Hello("example.com", ("alpn",))
+    assert hello.parse_client_hello(body) == hello.ClientHello("example.com", ("alpn",))
 
 
 def test_the_servers_initial_of_the_rfc() -> None:
     """A server's words are opened with its own keys (appendix A.3)."""
     number, payload = InitialKeys(V1, DCID).server.open(SERVER_PACKET, packet.long_packet(SERVER_PACKET))
-    heard = frames.read(payload)
+    heard = frames.parse_initial_payload(payload)
     assert number == 1 and heard.largest_acked == 0 and len(heard.crypto[0].data) == 0x5A
     with pytest.raises(MalformedError):
         InitialKeys(V1, DCID).client.open(SERVER_PACKET, packet.long_packet(SERVER_PACKET))
@@ -103,9 +103,9 @@
 @given(st.integers(0, 2**62 - 1))
 def test_varints(value: int) -> None:
     """Every value in its shortest form, and back."""
-    assert Reader(varint(value)).varint() == value
+    assert Reader(encode_varint(value)).varint() == value
     with pytest.raises(ValueError):
-        varint(2**62 + value)
+        encode_varint(2**62 + value)
 
 
 @given(st.binary(max_size=3000), st.randoms(use_true_random=False))
@@ -117,25 +117,31 @@
     pieces += chance.sample(pieces, min(3, len(pieces)))
     chance.shuffle(pieces)
     for start, end in pieces:
-        put.add(frames.Crypto(start, stream[start:end]))
-    assert put.beginning() == stream
-    assert len(put.pieces) <= 1
+        put.add(frames.CryptoFrame(start, stream[start:end]))
+    assert put.contiguous_prefix() == stream
+    assert len(put.segments) <= 1
 
 
 def test_a_stream_is_bounded() -> None:
     """A stranger's gaps and offsets must not fill the memory."""
     put = hello.CryptoStream()
     with pytest.raises(MalformedError):
-        put.add(frames.Crypto(hello.LONGEST, b"x"))
+        put.add(frames.CryptoFrame(hello.MAX_CLIENT_HELLO_BYTES, b"x"))
     with pytest.raises(MalformedError):
-        for number in range(hello.PIECES + 1):
-            put.add(frames.Crypto(2 * number, b"x"))
+        for number in range(hello.MAX_SEPARATE_SEGMENTS + 1):
+            put.add(frames.CryptoFrame(2 * number, b"x"))
 
 
 @given(st.binary(max_size=200))
 def test_no_bytes_raise_anything_else(data: bytes) -> None:
     """Readers of strangers' bytes say MalformedError, or read."""
-    for read in (packet.invariants, packet.long_packet, frames.read, hello.read, hello.whole):
+    for read in (
+        packet.invariants,
+        packet.long_packet,
+        frames.parse_initial_payload,
+        hello.parse_client_hello,
+        hello.client_hello_body,
+    ):
         try:
             read(data)
         except MalformedError:
