--- a/benchmarks/quic_path.py
+++ b/benchmarks/quic_path.py
@@ -33,7 +33,7 @@
 from scaledeal.quic.ids.servers import server_id
 from scaledeal.quic.wire import frames, packet
 from scaledeal.quic.wire.packet import V1
-from scaledeal.quic.wire.protection import InitialKeys, initial
+from scaledeal.quic.wire.protection import InitialKeys, encode_initial
 
 FORWARDER = """
 import sys
@@ -117,17 +117,17 @@
         """Return a client's Initial with its whole ClientHello."""
         keys = InitialKeys(V1, dcid)
         payload = frames.encode_crypto(0, self.hello)
-        pad = 1200 - len(initial(keys.client, V1, dcid, b"client00", 0, payload))
-        return initial(keys.client, V1, dcid, b"client00", 0, payload.ljust(len(payload) + pad, b"\0"))
+        pad = 1200 - len(encode_initial(keys.client, V1, dcid, b"client00", 0, payload))
+        return encode_initial(keys.client, V1, dcid, b"client00", 0, payload.ljust(len(payload) + pad, b"\0"))
 
     def set_up(self, target: Target, sock: socket.socket, dcid: bytes, prove: bool = True) -> bytes:
         """Bring a flow up through the relay, and return the id to use on it; prove its path, unless told not to."""
         sock.sendto(self.first(dcid), target.address)
         datagram, source = self.server.recvfrom(65_536)
         cid = self.codec.new(self.sid)
-        at = packet.long_packet(datagram)
+        at = packet.parse_long_packet(datagram)
         self.server.sendto(
-            initial(InitialKeys(V1, at.dcid).server, V1, at.scid, cid, 0, frames.encode_crypto(0, b"\2")), source
+            encode_initial(InitialKeys(V1, at.dcid).server, V1, at.scid, cid, 0, frames.encode_crypto(0, b"\2")), source
         )
         sock.recv(65_536)
         if prove:
@@ -190,7 +190,7 @@
     )
     peer.connect(("127.0.0.1", 1), now=0.0)
     datagram = peer.datagrams_to_send(now=0.0)[0][0]
-    at = packet.long_packet(datagram)
+    at = packet.parse_long_packet(datagram)
     return frames.parse_initial_payload(InitialKeys(V1, at.dcid).client.open(datagram, at)[1]).crypto[0].data
 
 
@@ -243,7 +243,7 @@
         began = time.process_time()
         for _ in range(200):
             keys = InitialKeys(V1, b"measured")
-            keys.client.open(sample, packet.long_packet(sample))
+            keys.client.open(sample, packet.parse_long_packet(sample))
             keys.server.seal(b"\xc3" + bytes(30), 0, bytes(100))
         crypto = (time.process_time() - began) / 200 * 1e6
         return {
--- a/scaledeal/quic/core/opening.py
+++ b/scaledeal/quic/core/opening.py
@@ -4,7 +4,7 @@
 
 from scaledeal.quic.wire import frames, hello
 from scaledeal.quic.wire.buffer import MalformedError
-from scaledeal.quic.wire.packet import Kind, Packet, coalesced
+from scaledeal.quic.wire.packet import Packet, PacketType, parse_coalesced
 from scaledeal.quic.wire.protection import InitialKeys
 
 MOST_DATAGRAMS = 12
@@ -30,11 +30,11 @@
 
         Raise MalformedError where nothing in it opens or its content is none; nothing of it is kept then.
         """
-        packets = [p for p in coalesced(datagram, first) if p.version == self.version and p.dcid == self.dcid]
-        initials = [p for p in packets if p.kind is Kind.INITIAL]
+        packets = [p for p in parse_coalesced(datagram, first) if p.version == self.version and p.dcid == self.dcid]
+        initials = [p for p in packets if p.packet_type is PacketType.INITIAL]
         for packet in initials:
             self._read(datagram, packet)
-        if initials or any(p.kind is Kind.ZERO_RTT for p in packets):
+        if initials or any(p.packet_type is PacketType.ZERO_RTT for p in packets):
             self._keep(datagram)
         return self.hello is not None
 
--- a/scaledeal/quic/core/router.py
+++ b/scaledeal/quic/core/router.py
@@ -28,7 +28,7 @@
 from scaledeal.quic.ids.tokens import RetryToken, Source
 from scaledeal.quic.wire import frames, packet, protection
 from scaledeal.quic.wire.buffer import MalformedError
-from scaledeal.quic.wire.packet import LEAST_INITIAL, LONG, Kind, Packet
+from scaledeal.quic.wire.packet import LONG_HEADER_BIT, MIN_INITIAL_DATAGRAM_BYTES, Packet, PacketType
 
 OPENING_TIME = 5 * SECOND  # in which a ClientHello must be whole
 LINGER = 3 * SECOND  # for which repeats of a flow that got its final answer get it again
@@ -81,7 +81,7 @@
     def known(self, source: Source, datagram: bytes) -> Path | None:
         """Return the path of a short-header datagram that needs no further look: the ordinary way."""
         first = datagram[0]
-        if first & LONG or len(datagram) < LEAST_SHORT:
+        if first & LONG_HEADER_BIT or len(datagram) < LEAST_SHORT:
             return None
         path = self.table.routes.get((source, datagram[1 : 1 + self.lengths[datagram[1] >> 5]]))
         return path if path is not None and path.proven else None
@@ -91,7 +91,7 @@
         if len(datagram) < LEAST_SHORT:
             return [Drop("too short")]
         try:
-            if datagram[0] & LONG:
+            if datagram[0] & LONG_HEADER_BIT:
                 return self._long(now, unix_now, source, datagram)
             return self._short(now, source, datagram)
         except MalformedError as error:
@@ -162,24 +162,24 @@
     # Long headers
 
     def _long(self, now: int, unix_now: int, source: Source, datagram: bytes) -> list[Verdict]:
-        version, dcid, scid, _ = packet.invariants(datagram)
+        version, dcid, scid, _ = packet.parse_invariants(datagram)
         if version not in packet.VERSIONS:
-            if version == 0 or len(datagram) < LEAST_INITIAL:
+            if version == 0 or len(datagram) < MIN_INITIAL_DATAGRAM_BYTES:
                 return [Drop("version not known")]
-            return [ToClient(source, packet.negotiation(dcid, scid))]
+            return [ToClient(source, packet.encode_version_negotiation(dcid, scid))]
         flow = self.table.by_opening.get((source, dcid))
         if flow is not None:
             return self._of_flow(now, flow, source, datagram)
-        first = packet.long_packet(datagram)
+        first = packet.parse_long_packet(datagram)
         if (source, dcid) in self.spared:
             return [Drop("another process answers")]
         known = self.table.by_id.get(dcid)
         if known is not None and known.state is State.STANDING:
             return self._handshake(now, known, source, dcid, datagram)
-        if first.kind is Kind.ZERO_RTT:
+        if first.packet_type is PacketType.ZERO_RTT:
             self.strays.append((source, dcid, datagram))
             return [Drop("before its Initial")]
-        if first.kind is Kind.INITIAL:
+        if first.packet_type is PacketType.INITIAL:
             begun = self._begin(now, unix_now, source, first, datagram)
             if begun is not None:
                 return begun
@@ -194,7 +194,7 @@
 
     def _begin(self, now: int, unix_now: int, source: Source, first: Packet, datagram: bytes) -> list[Verdict] | None:
         """Begin a flow; None where the datagram is no client's first."""
-        if len(datagram) < LEAST_INITIAL:
+        if len(datagram) < MIN_INITIAL_DATAGRAM_BYTES:
             return [Drop("Initial too small")]
         if len(first.dcid) < LEAST_DCID:
             return [Drop("Initial with a short id")]
@@ -223,8 +223,8 @@
         """Return a Retry: the client proves its address, and no state is kept until it has."""
         scid = secrets.token_bytes(LEAST_DCID)
         token = RetryToken(unix_now + tokens.VALID, first.dcid, scid, source)
-        body = packet.retry_body(first.version, first.scid, scid, tokens.seal(self.retry_key, token))
-        return body + protection.retry_tag(first.version, first.dcid, body)
+        body = packet.encode_untagged_retry(first.version, first.scid, scid, tokens.seal(self.retry_key, token))
+        return body + protection.retry_integrity_tag(first.version, first.dcid, body)
 
     def _find_strays(self, flow: Flow) -> None:
         """Take what came before the flow's Initial."""
@@ -240,7 +240,7 @@
         """Take a further datagram that uses the client's first id."""
         if flow.state is State.ANSWERED:
             flow.repeats += 1
-            enough = len(datagram) >= LEAST_INITIAL and flow.repeats <= MOST_REPEATS
+            enough = len(datagram) >= MIN_INITIAL_DATAGRAM_BYTES and flow.repeats <= MOST_REPEATS
             return [ToClient(source, flow.answer)] if enough else [Drop("answered")]
         if flow.state is State.STANDING:
             return self._on_path(now, flow, source, b"", datagram)
@@ -279,13 +279,13 @@
         flow.attempt, flow.early = None, []
         self.table.drop(path)
         opening.number += 1
-        last = protection.initial(
+        last = protection.encode_initial(
             opening.keys.client,
             opening.version,
             opening.dcid,
             opening.scid,
             opening.number,
-            frames.encode_connection_close(code).ljust(LEAST_INITIAL, b"\0"),
+            frames.encode_connection_close(code).ljust(MIN_INITIAL_DATAGRAM_BYTES, b"\0"),
         )
         return [ToServer(path, (last,)), Shut(path)]
 
@@ -331,7 +331,7 @@
             return [Drop(f"server malformed: {error}")]
 
     def _to_client(self, path: Path, datagram: bytes) -> list[Verdict]:
-        if datagram[0] & LONG:
+        if datagram[0] & LONG_HEADER_BIT:
             self._learn(path, datagram)
         path.answered = True
         if not path.proven:
@@ -343,7 +343,7 @@
 
     def _learn(self, path: Path, datagram: bytes) -> None:
         """Note the id that a server gave itself."""
-        _, _, scid, _ = packet.invariants(datagram)
+        _, _, scid, _ = packet.parse_invariants(datagram)
         flow = path.flow
         if scid and self.table.by_id.get(scid) is not flow:
             self.foreign += self.ids.server(scid) != flow.server
@@ -354,10 +354,10 @@
         """Judge what a server says before its answer has reached the client."""
         assert flow.opening is not None
         answers = False
-        for each in packet.coalesced(datagram):
-            if each.kind in (Kind.RETRY, Kind.NEGOTIATION):
+        for each in packet.parse_coalesced(datagram):
+            if each.packet_type in (PacketType.RETRY, PacketType.VERSION_NEGOTIATION):
                 answers = True
-            elif each.kind is Kind.INITIAL:
+            elif each.packet_type is PacketType.INITIAL:
                 heard = frames.parse_initial_payload(flow.opening.keys.server.open(datagram, each)[1])
                 if heard.close is not None:
                     return [TurnedAway(flow, heard.close.code == frames.CONNECTION_REFUSED)]
@@ -416,6 +416,6 @@
 def _closing(opening: Opening, code: int, reason: bytes) -> bytes:
     """Return a server's CONNECTION_CLOSE in an Initial that the client takes."""
     own = secrets.token_bytes(LEAST_DCID)
-    return protection.initial(
+    return protection.encode_initial(
         opening.keys.server, opening.version, opening.scid, own, 0, frames.encode_connection_close(code, reason)
     )
--- a/scaledeal/quic/wire/packet.py
+++ b/scaledeal/quic/wire/packet.py
@@ -1,6 +1,6 @@
-"""Packet headers: the invariants of every version (RFC 8999), and the long headers of versions 1 and 2.
+"""Packet headers: version-independent fields (RFC 8999), and long headers of QUIC versions 1 and 2.
 
-Versions: RFC 9000 section 17.2 and RFC 9369 section 3.2, which swaps the packet types' bits.
+Versions: RFC 9000 section 17.2, and RFC 9369 section 3.2, which gives the packet types other bits.
 """
 
 from __future__ import annotations
@@ -15,137 +15,155 @@
 V1 = 0x00000001
 V2 = 0x6B3343CF
 VERSIONS = (V1, V2)
-LONG = 0x80  # header form bit (RFC 8999 section 5.1)
-FIXED = 0x40  # RFC 9000 section 17.2
-LONGEST_ID = 20  # bytes of a connection id in versions 1 and 2 (RFC 9000 section 17.2)
-LEAST_INITIAL = 1200  # bytes of a datagram that holds a client's Initial (RFC 9000 section 14.1)
+LONG_HEADER_BIT = 0x80  # RFC 8999 section 5.1
+FIXED_BIT = 0x40  # RFC 9000 section 17.2
+MAX_CONNECTION_ID_BYTES = 20  # in versions 1 and 2 (RFC 9000 section 17.2)
+MIN_INITIAL_DATAGRAM_BYTES = 1200  # of a datagram that holds a client's Initial (RFC 9000 section 14.1)
 
 
-class Kind(Enum):
-    """The types of long headers."""
+class PacketType(Enum):
+    """The types of long-header packets; the values of the first four are their type bits in version 1."""
 
     INITIAL = 0
     ZERO_RTT = 1
     HANDSHAKE = 2
     RETRY = 3
-    NEGOTIATION = 4
-    OTHER = 5  # of a version that is not known here
+    VERSION_NEGOTIATION = 4
+    UNKNOWN_VERSION = 5
 
 
-_OF_V1 = (Kind.INITIAL, Kind.ZERO_RTT, Kind.HANDSHAKE, Kind.RETRY)
-_OF_V2 = {1: Kind.INITIAL, 2: Kind.ZERO_RTT, 3: Kind.HANDSHAKE, 0: Kind.RETRY}
-_BITS_OF_V2 = {kind: bits for bits, kind in _OF_V2.items()}
+_TYPES_V1 = (PacketType.INITIAL, PacketType.ZERO_RTT, PacketType.HANDSHAKE, PacketType.RETRY)
+_TYPES_V2 = {1: PacketType.INITIAL, 2: PacketType.ZERO_RTT, 3: PacketType.HANDSHAKE, 0: PacketType.RETRY}
+_TYPE_BITS_V2 = {packet_type: bits for bits, packet_type in _TYPES_V2.items()}
 
 
 class Packet(msgspec.Struct, frozen=True):
-    """One long-header packet inside a datagram; offsets count from the datagram's start."""
+    """One long-header packet in a datagram; offsets count from the datagram's start."""
 
-    kind: Kind
+    packet_type: PacketType
     version: int
     dcid: bytes
     scid: bytes
     token: bytes
     start: int
-    number_at: int  # where the packet number stands, still protected; of a Retry: where its token ends
+    packet_number_offset: int  # of the protected packet number; in a Retry, the end of the token
     end: int
 
 
 def is_long(datagram: bytes) -> bool:
-    """Tell whether a datagram begins with a long header."""
-    return bool(datagram) and bool(datagram[0] & LONG)
+    """Return whether a datagram begins with a long header."""
+    return bool(datagram) and bool(datagram[0] & LONG_HEADER_BIT)
 
 
-def _ids_at(datagram: bytes, start: int) -> tuple[int, bytes, bytes, int]:
-    """Return a long header's version, DCID, SCID and where they end; slices, as every set-up comes here."""
+def _parse_ids(datagram: bytes, start: int) -> tuple[int, bytes, bytes, int]:
+    """Return a long header's version, DCID, SCID and the offset after them.
+
+    Uses slices instead of a Reader, as it runs for every set-up.
+    """
     try:
-        if not datagram[start] & LONG:
+        if not datagram[start] & LONG_HEADER_BIT:
             raise MalformedError("no long header")
-        middle = start + 6 + datagram[start + 5]
-        end = middle + 1 + datagram[middle]
+        dcid_end = start + 6 + datagram[start + 5]
+        end = dcid_end + 1 + datagram[dcid_end]
     except IndexError:
         raise MalformedError("ends too soon") from None
     if end > len(datagram):
         raise MalformedError("ends too soon")
     version = int.from_bytes(datagram[start + 1 : start + 5], "big")
-    return version, datagram[start + 6 : middle], datagram[middle + 1 : end], end
+    return version, datagram[start + 6 : dcid_end], datagram[dcid_end + 1 : end], end
 
 
-def invariants(datagram: bytes) -> tuple[int, bytes, bytes, int]:
-    """Return a long header's version, DCID, SCID and where they end (RFC 8999 section 5.1)."""
-    return _ids_at(datagram, 0)
+def parse_invariants(datagram: bytes) -> tuple[int, bytes, bytes, int]:
+    """Return a long header's version, DCID, SCID and the offset after them (RFC 8999 section 5.1).
+
+    Raise MalformedError if the datagram does not begin with a whole long header.
+    """
+    return _parse_ids(datagram, 0)
 
 
-def long_packet(datagram: bytes, start: int = 0) -> Packet:
-    """Read the long header that stands at this place; raise MalformedError where none does."""
-    version, dcid, scid, at = _ids_at(datagram, start)
+def parse_long_packet(datagram: bytes, start: int = 0) -> Packet:
+    """Parse the long header at `start`; raise MalformedError if there is none."""
+    version, dcid, scid, offset = _parse_ids(datagram, start)
     if version not in VERSIONS:
-        kind = Kind.NEGOTIATION if version == 0 else Kind.OTHER
-        return Packet(kind, version, dcid, scid, b"", start, at, len(datagram))
+        packet_type = PacketType.VERSION_NEGOTIATION if version == 0 else PacketType.UNKNOWN_VERSION
+        return Packet(packet_type, version, dcid, scid, b"", start, offset, len(datagram))
     first = datagram[start]
-    if not first & FIXED:
+    if not first & FIXED_BIT:
         raise MalformedError("the fixed bit is not set")
-    if len(dcid) > LONGEST_ID or len(scid) > LONGEST_ID:
+    if len(dcid) > MAX_CONNECTION_ID_BYTES or len(scid) > MAX_CONNECTION_ID_BYTES:
         raise MalformedError("an id is too long for its version")
-    kind = _OF_V2[first >> 4 & 3] if version == V2 else _OF_V1[first >> 4 & 3]
-    if kind is Kind.RETRY:
-        if len(datagram) - at < 16:
+    packet_type = _TYPES_V2[first >> 4 & 3] if version == V2 else _TYPES_V1[first >> 4 & 3]
+    if packet_type is PacketType.RETRY:
+        if len(datagram) - offset < 16:
             raise MalformedError("ends too soon")
-        return Packet(kind, version, dcid, scid, datagram[at:-16], start, len(datagram) - 16, len(datagram))
+        return Packet(packet_type, version, dcid, scid, datagram[offset:-16], start, len(datagram) - 16, len(datagram))
     token = b""
-    if kind is Kind.INITIAL:
-        length, at = decode_varint(datagram, at)
-        token, at = datagram[at : at + length], at + length
-    length, at = decode_varint(datagram, at)
-    if at + length > len(datagram):
+    if packet_type is PacketType.INITIAL:
+        length, offset = decode_varint(datagram, offset)
+        token, offset = datagram[offset : offset + length], offset + length
+    length, offset = decode_varint(datagram, offset)
+    if offset + length > len(datagram):
         raise MalformedError("ends too soon")
-    return Packet(kind, version, dcid, scid, token, start, at, at + length)
+    return Packet(packet_type, version, dcid, scid, token, start, offset, offset + length)
 
 
-def coalesced(datagram: bytes, first: Packet | None = None) -> list[Packet]:
-    """Return the long-header packets of a datagram, up to the first that is none (RFC 9000 section 12.2).
+def parse_coalesced(datagram: bytes, first: Packet | None = None) -> list[Packet]:
+    """Return the long-header packets of a datagram (RFC 9000 section 12.2).
 
-    The first of them need not be read again where it is known.
+    Stops at the first that is malformed or has another destination id. Pass `first` if the first packet is already
+    parsed.
     """
     found = [first] if first is not None else []
-    at = first.end if first is not None else 0
-    while at < len(datagram) and datagram[at] & LONG:
+    offset = first.end if first is not None else 0
+    while offset < len(datagram) and datagram[offset] & LONG_HEADER_BIT:
         try:
-            packet = long_packet(datagram, at)
+            packet = parse_long_packet(datagram, offset)
         except MalformedError:
             break
-        # Guards against a packet for another connection put behind one of ours.
+        # A sender may append a packet for another connection; it must not be handled as part of this one.
         if found and packet.dcid != found[0].dcid:
             break
         found.append(packet)
-        at = packet.end
+        offset = packet.end
     return found
 
 
-def _ids(dcid: bytes, scid: bytes) -> bytes:
+def _encode_ids(dcid: bytes, scid: bytes) -> bytes:
     return bytes((len(dcid),)) + dcid + bytes((len(scid),)) + scid
 
 
-def type_bits(kind: Kind, version: int) -> int:
-    """Return a packet type's two bits in this version."""
-    return _BITS_OF_V2[kind] if version == V2 else kind.value
+def type_bits(packet_type: PacketType, version: int) -> int:
+    """Return the two bits that encode a packet type in `version`."""
+    return _TYPE_BITS_V2[packet_type] if version == V2 else packet_type.value
 
 
-def long_header(kind: Kind, version: int, dcid: bytes, scid: bytes, token: bytes, length: int) -> bytes:
-    """Return the header of an Initial or Handshake packet with a packet number of four bytes."""
-    first = LONG | FIXED | type_bits(kind, version) << 4 | 3
-    told = encode_varint(len(token)) + token if kind is Kind.INITIAL else b""
-    # Two bytes for the length in any case, so that the header's size does not hang on it.
-    return bytes((first,)) + version.to_bytes(4, "big") + _ids(dcid, scid) + told + (length | 0x4000).to_bytes(2, "big")
+def encode_long_header(
+    packet_type: PacketType, version: int, dcid: bytes, scid: bytes, token: bytes, length: int
+) -> bytes:
+    """Return the header of an Initial or Handshake packet up to its packet number, which must take four bytes.
 
-
-def negotiation(dcid: bytes, scid: bytes) -> bytes:
-    """Return a Version Negotiation packet to whoever sent these ids (RFC 9000 section 17.2.1)."""
-    listed = b"".join(version.to_bytes(4, "big") for version in VERSIONS)
-    first = bytes((LONG | FIXED | secrets.randbits(6),))
-    return first + b"\0\0\0\0" + _ids(scid, dcid) + listed
-
-
-def retry_body(version: int, dcid: bytes, scid: bytes, token: bytes) -> bytes:
+    `length` counts the bytes of packet number, payload and AEAD tag.
+    """
+    first = LONG_HEADER_BIT | FIXED_BIT | type_bits(packet_type, version) << 4 | 3
+    token_field = encode_varint(len(token)) + token if packet_type is PacketType.INITIAL else b""
+    # The length field always takes two bytes, so that the header's size does not depend on the payload's.
+    return (
+        bytes((first,))
+        + version.to_bytes(4, "big")
+        + _encode_ids(dcid, scid)
+        + token_field
+        + (length | 0x4000).to_bytes(2, "big")
+    )
+
+
+def encode_version_negotiation(dcid: bytes, scid: bytes) -> bytes:
+    """Return a Version Negotiation packet that answers a packet with these ids (RFC 9000 section 17.2.1)."""
+    versions = b"".join(version.to_bytes(4, "big") for version in VERSIONS)
+    first = bytes((LONG_HEADER_BIT | FIXED_BIT | secrets.randbits(6),))
+    return first + b"\0\0\0\0" + _encode_ids(scid, dcid) + versions
+
+
+def encode_untagged_retry(version: int, dcid: bytes, scid: bytes, token: bytes) -> bytes:
     """Return a Retry packet without its integrity tag (RFC 9000 section 17.2.5)."""
-    first = LONG | FIXED | type_bits(Kind.RETRY, version) << 4 | secrets.randbits(4)
-    return bytes((first,)) + version.to_bytes(4, "big") + _ids(dcid, scid) + token
+    first = LONG_HEADER_BIT | FIXED_BIT | type_bits(PacketType.RETRY, version) << 4 | secrets.randbits(4)
+    return bytes((first,)) + version.to_bytes(4, "big") + _encode_ids(dcid, scid) + token
--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -7,17 +7,17 @@
 from scaledeal.lab.quic.checker import Record
 from scaledeal.quic.wire import frames
 from scaledeal.quic.wire.packet import V1
-from scaledeal.quic.wire.protection import InitialKeys, initial
+from scaledeal.quic.wire.protection import InitialKeys, encode_initial
 
 DCID = b"firstone"
 
 
 def from_client(payload: bytes) -> bytes:
-    return initial(InitialKeys(V1, DCID).client, V1, DCID, b"client", 0, payload)
+    return encode_initial(InitialKeys(V1, DCID).client, V1, DCID, b"client", 0, payload)
 
 
 def from_server(payload: bytes, scid: bytes) -> bytes:
-    return initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
+    return encode_initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
 
 
 ASKS, CLOSES = from_client(frames.encode_crypto(0, HELLO)), from_client(frames.encode_connection_close(0))
--- a/tests/test_quic_router.py
+++ b/tests/test_quic_router.py
@@ -21,7 +21,7 @@
 from scaledeal.quic.wire import frames, packet
 from scaledeal.quic.wire.hello import ClientHello
 from scaledeal.quic.wire.packet import V1
-from scaledeal.quic.wire.protection import InitialKeys, initial
+from scaledeal.quic.wire.protection import InitialKeys, encode_initial
 
 RING = new_ring()
 CODEC = RING.codecs()[0]
@@ -53,8 +53,8 @@
     """Return a client's Initial with a part of its ClientHello."""
     start = part.indices(len(HELLO))[0]
     payload = frames.encode_crypto(start, HELLO[part])
-    short = initial(InitialKeys(V1, dcid).client, V1, dcid, scid, number, payload, token)
-    return initial(
+    short = encode_initial(InitialKeys(V1, dcid).client, V1, dcid, scid, number, payload, token)
+    return encode_initial(
         InitialKeys(V1, dcid).client,
         V1,
         dcid,
@@ -66,7 +66,7 @@
 
 
 def from_server(flow: Flow, scid: bytes, payload: bytes) -> bytes:
-    return initial(InitialKeys(V1, flow.dcid).server, V1, flow.scid, scid, 0, payload)
+    return encode_initial(InitialKeys(V1, flow.dcid).server, V1, flow.scid, scid, 0, payload)
 
 
 def short(cid: bytes, size: int = 60) -> bytes:
@@ -317,8 +317,8 @@
     asked(made, b"firstone")
     told = made.from_client(0, 5, ("h", 2), first(b"secondon"))
     assert isinstance(told[0], v.ToClient)
-    retry = packet.long_packet(told[0].datagram)
-    assert retry.kind is packet.Kind.RETRY and len(told[0].datagram) < 1200
+    retry = packet.parse_long_packet(told[0].datagram)
+    assert retry.packet_type is packet.PacketType.RETRY and len(told[0].datagram) < 1200
     with_token = first(retry.scid, token=retry.token, number=1)
     assert kinds(made.from_client(0, 5, ("h", 3), with_token)) == ["ToClient"]
     assert kinds(made.from_client(0, 5 + 2 * tokens.VALID, ("h", 2), with_token)) == ["ToClient"]
--- a/tests/test_quic_wire.py
+++ b/tests/test_quic_wire.py
@@ -10,8 +10,8 @@
 
 from scaledeal.quic.wire import frames, hello, packet
 from scaledeal.quic.wire.buffer import MalformedError, Reader, encode_varint
-from scaledeal.quic.wire.packet import V1, V2, Kind
-from scaledeal.quic.wire.protection import InitialKeys, Keys, Suite, initial, retry_tag
+from scaledeal.quic.wire.packet import V1, V2, PacketType
+from scaledeal.quic.wire.protection import DirectionKeys, InitialKeys, Suite, encode_initial, retry_integrity_tag
 
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.load_profile("same")
@@ -36,7 +36,7 @@
 
 def test_the_clients_initial_of_the_rfc() -> None:
     """A wrong label, nonce or mask changes these bytes (appendix A.2)."""
-    sealed = initial(InitialKeys(V1, DCID).client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
+    sealed = encode_initial(InitialKeys(V1, DCID).client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
     assert sealed[:22].hex() == "c000000001088394c8f03e5157080000449e7b9aec34"
     assert sealed[22:38].hex() == "d1b1c98dd7689fb8ec11d242b123dc9b"
     assert len(sealed) == 1200
@@ -45,8 +45,8 @@
 def test_the_clients_initial_is_read_back() -> None:
     """What a ClientHello says is read off the vector: its name and protocol."""
     keys = InitialKeys(V1, DCID)
-    sealed = initial(keys.client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
-    number, payload = keys.client.open(sealed, packet.long_packet(sealed))
+    sealed = encode_initial(keys.client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
+    number, payload = keys.client.open(sealed, packet.parse_long_packet(sealed))
     heard = frames.parse_initial_payload(payload)
     body = hello.client_hello_body(heard.crypto[0].data)
     assert number == 2 and body is not None
@@ -55,24 +55,24 @@
 
 def test_the_servers_initial_of_the_rfc() -> None:
     """A server's words are opened with its own keys (appendix A.3)."""
-    number, payload = InitialKeys(V1, DCID).server.open(SERVER_PACKET, packet.long_packet(SERVER_PACKET))
+    number, payload = InitialKeys(V1, DCID).server.open(SERVER_PACKET, packet.parse_long_packet(SERVER_PACKET))
     heard = frames.parse_initial_payload(payload)
     assert number == 1 and heard.largest_acked == 0 and len(heard.crypto[0].data) == 0x5A
     with pytest.raises(MalformedError):
-        InitialKeys(V1, DCID).client.open(SERVER_PACKET, packet.long_packet(SERVER_PACKET))
+        InitialKeys(V1, DCID).client.open(SERVER_PACKET, packet.parse_long_packet(SERVER_PACKET))
 
 
 def test_the_retry_of_the_rfc() -> None:
     """A client drops a Retry whose tag is wrong (appendix A.4)."""
-    assert retry_tag(V1, DCID, RETRY[:-16]) == RETRY[-16:]
+    assert retry_integrity_tag(V1, DCID, RETRY[:-16]) == RETRY[-16:]
 
 
 def test_the_chacha20_packet_of_the_rfc() -> None:
     """A mask or nonce of the other suite gives other bytes (appendix A.5)."""
     secret = bytes.fromhex("9ac312a7f877468ebe69422748ad00a15443f18203a07d6060f688f30f21632b")
-    keys = Keys(secret, V1, Suite.CHACHA20)
+    keys = DirectionKeys(secret, V1, Suite.CHACHA20)
     assert keys.key.hex() == "c6d98ff3441c3fe1b2182094f69caa2ed4b716b65488960a7a984979fb23e1c8"
-    assert keys.hp.hex() == "25a282b9e82f06f21f488917a4fc8f1b73573685608597d0efcb076b0ab7a7a4"
+    assert keys.header_key.hex() == "25a282b9e82f06f21f488917a4fc8f1b73573685608597d0efcb076b0ab7a7a4"
     sealed = keys.protect(bytes.fromhex("4200bff4"), 654_360_564, b"\1")
     assert sealed.hex() == "4cfe4189655e5cd55c41f69080575d7999c25a5bfb"
 
@@ -80,14 +80,17 @@
 def test_the_keys_of_version_2() -> None:
     """RFC 9369 appendix A.1: another salt, other labels."""
     assert InitialKeys(V2, DCID).client.key.hex() == "8b1a0bc121284290a29e0971b5cd045d"
-    first = {kind: packet.type_bits(kind, V2) for kind in (Kind.INITIAL, Kind.ZERO_RTT, Kind.HANDSHAKE, Kind.RETRY)}
-    assert first == {Kind.INITIAL: 1, Kind.ZERO_RTT: 2, Kind.HANDSHAKE: 3, Kind.RETRY: 0}
+    first = {
+        kind: packet.type_bits(kind, V2)
+        for kind in (PacketType.INITIAL, PacketType.ZERO_RTT, PacketType.HANDSHAKE, PacketType.RETRY)
+    }
+    assert first == {PacketType.INITIAL: 1, PacketType.ZERO_RTT: 2, PacketType.HANDSHAKE: 3, PacketType.RETRY: 0}
 
 
 def test_version_negotiation_turns_the_ids_round() -> None:
     """A client takes it only with its own ids, and only if its version is not listed (RFC 9000 section 6.2)."""
-    answer = packet.negotiation(b"theirs12", b"mine")
-    version, dcid, scid, at = packet.invariants(answer)
+    answer = packet.encode_version_negotiation(b"theirs12", b"mine")
+    version, dcid, scid, at = packet.parse_invariants(answer)
     assert (version, dcid, scid) == (0, b"mine", b"theirs12")
     assert answer[at:] == V1.to_bytes(4, "big") + V2.to_bytes(4, "big")
 
@@ -95,9 +98,9 @@
 def test_a_packet_for_another_connection_ends_the_datagram() -> None:
     """What is coalesced must have one id (RFC 9000 section 12.2)."""
     keys = InitialKeys(V1, DCID)
-    one = initial(keys.client, V1, DCID, b"a", 0, b"\1")
-    other = initial(keys.client, V1, b"otherone", b"a", 0, b"\1")
-    assert [each.dcid for each in packet.coalesced(one + one + other)] == [DCID, DCID]
+    one = encode_initial(keys.client, V1, DCID, b"a", 0, b"\1")
+    other = encode_initial(keys.client, V1, b"otherone", b"a", 0, b"\1")
+    assert [each.dcid for each in packet.parse_coalesced(one + one + other)] == [DCID, DCID]
 
 
 @given(st.integers(0, 2**62 - 1))
@@ -136,8 +139,8 @@
 def test_no_bytes_raise_anything_else(data: bytes) -> None:
     """Readers of strangers' bytes say MalformedError, or read."""
     for read in (
-        packet.invariants,
-        packet.long_packet,
+        packet.parse_invariants,
+        packet.parse_long_packet,
         frames.parse_initial_payload,
         hello.parse_client_hello,
         hello.client_hello_body,
@@ -146,4 +149,4 @@
             read(data)
         except MalformedError:
             continue
-    packet.coalesced(data)
+    packet.parse_coalesced(data)
