--- a/scaledeal/cli/keys.py
+++ b/scaledeal/cli/keys.py
@@ -58,7 +58,7 @@
     for each in ring.configs:
         config = each.config()
         typer.echo(
-            f"config {config.number}  {each.standing.value:6}  {config.form:11}  server id "
+            f"config {config.number}  {each.state.value:6}  {config.form:11}  server id "
             f"{config.server_id_length} B  nonce {config.nonce_length} B  id {config.length} B"
         )
 
--- a/scaledeal/lab/quic/tile_server.py
+++ b/scaledeal/lab/quic/tile_server.py
@@ -159,7 +159,7 @@
     def _new(self, header: Any, source: Source) -> RoutedConnection | None:
         odcid, retry_scid = header.destination_cid, None
         if header.token:
-            told = tokens.opened(self.ring.secret("retry_key"), header.token)
+            told = tokens.decrypt(self.ring.secret("retry_key"), header.token)
             if told is not None:
                 odcid, retry_scid = told.original_dcid, told.retry_scid
         connection = RoutedConnection(self, odcid, retry_scid)
--- a/scaledeal/quic/core/router.py
+++ b/scaledeal/quic/core/router.py
@@ -59,7 +59,7 @@
     def rekey(self, codecs: dict[int, Codec], reset_key: bytes, retry_key: bytes) -> frozenset[tuple[str, str]]:
         """Take another key ring; return server ids that now collide. What stands goes on."""
         self.reset_key, self.retry_key = reset_key, retry_key
-        new = self.ids.rekey(codecs)
+        new = self.ids.set_codecs(codecs)
         self.lengths = self._lengths()
         return new
 
@@ -74,7 +74,7 @@
             self.gone.pop(name, None)
         while len(self.gone) > KNOWN_GONE:
             del self.gone[next(iter(self.gone))]
-        return self.ids.know(names | self.gone.keys())
+        return self.ids.set_names(names | self.gone.keys())
 
     # From clients
 
@@ -105,7 +105,7 @@
     def _by_id(self, now: int, source: Source, cid: bytes, datagram: bytes) -> list[Verdict]:
         """Find the flow of an id; empty where there is none and none can be made up."""
         flow = self.table.by_id.get(cid) if cid else None
-        if flow is None and cid and (server := self.ids.server(cid)):
+        if flow is None and cid and (server := self.ids.server_name(cid)):
             if server in self.gone:
                 return self._reset(source, cid, datagram)
             flow = self.table.by_peer.get((source, server))
@@ -122,7 +122,7 @@
         return self._on_path(now, flow, source, cid, datagram)
 
     def _reset(self, source: Source, cid: bytes, datagram: bytes) -> list[Verdict]:
-        reset = tokens.reset(self.reset_key, cid, len(datagram)) if cid else b""
+        reset = tokens.stateless_reset(self.reset_key, cid, len(datagram)) if cid else b""
         return [ToClient(source, reset)] if reset else [Drop("server gone")]
 
     def _on_path(self, now: int, flow: Flow, source: Source, cid: bytes, datagram: bytes) -> list[Verdict]:
@@ -222,7 +222,7 @@
     def _retry(self, unix_now: int, source: Source, first: Packet) -> bytes:
         """Return a Retry: the client proves its address, and no state is kept until it has."""
         scid = secrets.token_bytes(LEAST_DCID)
-        token = RetryToken(unix_now + tokens.VALID, first.dcid, scid, source)
+        token = RetryToken(unix_now + tokens.RETRY_TOKEN_LIFETIME_NS, first.dcid, scid, source)
         body = packet.encode_untagged_retry(first.version, first.scid, scid, tokens.seal(self.retry_key, token))
         return body + protection.retry_integrity_tag(first.version, first.dcid, body)
 
@@ -305,7 +305,7 @@
         if not paths:
             return self.end(flow, now, lost)
         path = max(paths, key=lambda each: (each.proven, each.seen))
-        reset = tokens.reset(self.reset_key, path.cid, tokens.LONGEST_RESET + 1)
+        reset = tokens.stateless_reset(self.reset_key, path.cid, tokens.MAX_RESET_BYTES + 1)
         return [ToClient(path.source, reset), *self.end(flow, now, lost)]
 
     def end(self, flow: Flow, now: int, lost: bool) -> list[Verdict]:
@@ -346,7 +346,7 @@
         _, _, scid, _ = packet.parse_invariants(datagram)
         flow = path.flow
         if scid and self.table.by_id.get(scid) is not flow:
-            self.foreign += self.ids.server(scid) != flow.server
+            self.foreign += self.ids.server_name(scid) != flow.server
             self.table.learn(flow, scid)
             self.table.route(path, scid)
 
--- a/scaledeal/quic/ids/__init__.py
+++ b/scaledeal/quic/ids/__init__.py
@@ -1,1 +1,1 @@
-"""What connection ids and tokens say, and the keys under which they say it. Only ``key_file`` touches a disk."""
+"""Connection ids, tokens and the keys that protect them. Only ``key_file`` does I/O."""
--- a/scaledeal/quic/ids/keys.py
+++ b/scaledeal/quic/ids/keys.py
@@ -1,6 +1,6 @@
-"""The key ring: several configs of ids in force at once, the reset key and the Retry key. No I/O.
+"""The key ring: the id configs in force, the reset key and the Retry key. No I/O.
 
-Secrets never reach a ``repr`` or a log: the structs show lengths only.
+The structs' ``repr`` holds no secret, so that none can reach a log.
 """
 
 from __future__ import annotations
@@ -10,35 +10,35 @@
 
 import msgspec
 
-from scaledeal.quic.ids.lb import BLOCK, MOST_CONFIGS, Codec, Config, ConfigError
+from scaledeal.quic.ids.lb import AES_BLOCK_BYTES, MAX_CONFIGS, Codec, Config, ConfigError
 
-SECRET = 32  # bytes of the reset and Retry keys
+SECRET_KEY_BYTES = 32  # of the reset, Retry and token keys
 
 
 class KeyRingError(ValueError):
-    """A ring that can't be used, or a step that it doesn't allow; the text is one plain line."""
+    """An invalid key ring, or a change that it does not allow; the text is one line."""
 
 
-class Standing(Enum):
-    """Whether servers make new ids under a config."""
+class ConfigState(Enum):
+    """Whether servers create new ids under a config."""
 
     ACTIVE = "active"
-    OLD = "old"  # its ids still route
+    OLD = "old"  # existing ids still route, no new ones are created
 
 
 class KeyEntry(msgspec.Struct, frozen=True):
-    """One config as the key file holds it; the key is hexadecimal, or empty for the plaintext form."""
+    """A config as stored in the key file; `key` is hexadecimal, or empty for the plaintext form."""
 
     number: int
     server_id_length: int
     nonce_length: int
     key: str = ""
     self_encoded: bool = True
-    standing: Standing = Standing.ACTIVE
+    state: ConfigState = msgspec.field(default=ConfigState.ACTIVE, name="standing")
     token_key: str = ""  # hexadecimal, 32 bytes: seals the tokens of resumable sessions; empty in older files
 
     def config(self) -> Config:
-        """Return it as the codec takes it; raise KeyRingError where it is out of bounds."""
+        """Return the codec's config; raise KeyRingError if a value is out of bounds or the key is not hexadecimal."""
         try:
             return Config(
                 self.number, self.server_id_length, self.nonce_length, bytes.fromhex(self.key), self.self_encoded
@@ -46,24 +46,24 @@
         except ConfigError as error:
             raise KeyRingError(str(error)) from None
         except ValueError:
-            raise KeyRingError(f"config id {self.number}: its key is not hexadecimal") from None
+            raise KeyRingError(f"config id {self.number}: the key is not hexadecimal") from None
 
     def __repr__(self) -> str:
-        return f"KeyEntry({self.number}, {self.config().form}, {self.standing.value})"
+        return f"KeyEntry({self.number}, {self.config().form}, {self.state.value})"
 
 
-def _secret(text: str, name: str, may_miss: bool) -> None:
-    """Raise KeyRingError where this is no key; its text is not told."""
+def _check_secret(text: str, name: str, optional: bool) -> None:
+    """Raise KeyRingError, without quoting `text`, unless it is a hexadecimal key of the right length."""
     try:
-        sound = len(bytes.fromhex(text)) == SECRET or (may_miss and not text)
+        valid = len(bytes.fromhex(text)) == SECRET_KEY_BYTES or (optional and not text)
     except ValueError:
-        sound = False
-    if not sound:
-        raise KeyRingError(f"{name}: {SECRET} bytes in hexadecimal were expected")
+        valid = False
+    if not valid:
+        raise KeyRingError(f"{name}: expected {SECRET_KEY_BYTES} bytes in hexadecimal")
 
 
 class KeyRing(msgspec.Struct, frozen=True):
-    """Everything that relays and tile servers share about ids."""
+    """The id configs and keys that relays and tile servers share."""
 
     configs: tuple[KeyEntry, ...]
     reset_key: str  # hexadecimal
@@ -72,71 +72,82 @@
 
     def __post_init__(self) -> None:
         if self.version != 1:
-            raise KeyRingError(f"version {self.version} of the key file is not known")
-        numbers = [each.number for each in self.configs]
+            raise KeyRingError(f"key file version {self.version} is not supported")
+        numbers = [entry.number for entry in self.configs]
         if len(set(numbers)) != len(numbers):
             raise KeyRingError("two configs have the same id")
-        if sum(each.standing is Standing.ACTIVE for each in self.configs) != 1:
+        if sum(entry.state is ConfigState.ACTIVE for entry in self.configs) != 1:
             raise KeyRingError("exactly one config must be active")
-        for each in self.configs:
-            each.config()
-            _secret(each.token_key, f"config id {each.number}: token_key", True)
+        for entry in self.configs:
+            entry.config()
+            _check_secret(entry.token_key, f"config id {entry.number}: token_key", True)
         for name in ("reset_key", "retry_key"):
-            _secret(getattr(self, name), name, False)
+            _check_secret(getattr(self, name), name, False)
 
     def __repr__(self) -> str:
         return f"KeyRing({list(self.configs)!r})"
 
     @property
     def active(self) -> KeyEntry:
-        """Return the config under which new ids are made."""
-        return next(each for each in self.configs if each.standing is Standing.ACTIVE)
+        """Return the config under which new ids are created."""
+        return next(entry for entry in self.configs if entry.state is ConfigState.ACTIVE)
 
     def secret(self, name: str) -> bytes:
-        """Return the reset or the Retry key."""
+        """Return the key in field `name`: "reset_key" or "retry_key"."""
         return bytes.fromhex(getattr(self, name))
 
     def token_keys(self) -> dict[int, bytes]:
-        """Return the keys that seal and open tokens, by config; raise KeyRingError where the active one has none."""
-        keys = {each.number: bytes.fromhex(each.token_key) for each in self.configs if each.token_key}
+        """Return the session token keys by config number; raise KeyRingError if the active config has none."""
+        keys = {entry.number: bytes.fromhex(entry.token_key) for entry in self.configs if entry.token_key}
         if self.active.number not in keys:
-            raise KeyRingError(f"config id {self.active.number} has no token key: make a new one")
+            raise KeyRingError(f"config id {self.active.number} has no token key: create a new config")
         return keys
 
     def codecs(self) -> dict[int, Codec]:
-        """Return a codec for each config, by its rotation bits."""
-        return {each.number: Codec(each.config()) for each in self.configs}
+        """Return the codecs by config number, which is the value of an id's rotation bits."""
+        return {entry.number: Codec(entry.config()) for entry in self.configs}
 
     def rotated(
         self, server_id_length: int, nonce_length: int, plaintext: bool = False, self_encoded: bool = True
     ) -> KeyRing:
-        """Return the ring with a new active config; the one before stays in force as an old one."""
-        used = {each.number for each in self.configs}
-        free = [number for number in range(MOST_CONFIGS) if number not in used]
+        """Return the ring with a new active config; the previous one stays in force as an old one.
+
+        Raise KeyRingError if all config numbers are in force.
+        """
+        used = {config.number for config in self.configs}
+        free = [number for number in range(MAX_CONFIGS) if number not in used]
         if not free:
-            raise KeyRingError(f"all {MOST_CONFIGS} config ids are in force: retire one first")
-        # Guards against an id taken under a config that has just been retired: the longest unused comes next.
-        number = min(free, key=lambda each: (each - self.active.number - 1) % MOST_CONFIGS)
+            raise KeyRingError(f"all {MAX_CONFIGS} config ids are in force: retire one first")
+        # Takes the number unused for longest: an id of a config that was just retired must not match the new config.
+        number = min(free, key=lambda candidate: (candidate - self.active.number - 1) % MAX_CONFIGS)
         entry = new_entry(number, server_id_length, nonce_length, plaintext, self_encoded)
-        old = tuple(msgspec.structs.replace(each, standing=Standing.OLD) for each in self.configs)
+        old = tuple(msgspec.structs.replace(config, state=ConfigState.OLD) for config in self.configs)
         return msgspec.structs.replace(self, configs=(*old, entry))
 
     def retired(self, number: int) -> KeyRing:
-        """Return the ring without a config: its ids no longer route."""
-        entry = next((each for each in self.configs if each.number == number), None)
+        """Return the ring without a config, whose ids then no longer route.
+
+        Raise KeyRingError if the config is not in force or is the active one.
+        """
+        entry = next((config for config in self.configs if config.number == number), None)
         if entry is None:
             raise KeyRingError(f"no config id {number} is in force")
-        if entry.standing is Standing.ACTIVE:
-            raise KeyRingError(f"config id {number} is the active one: make a new one first")
-        return msgspec.structs.replace(self, configs=tuple(e for e in self.configs if e is not entry))
+        if entry.state is ConfigState.ACTIVE:
+            raise KeyRingError(f"config id {number} is active: create a new config first")
+        return msgspec.structs.replace(self, configs=tuple(config for config in self.configs if config is not entry))
 
 
 def new_entry(
     number: int, server_id_length: int, nonce_length: int, plaintext: bool = False, self_encoded: bool = True
 ) -> KeyEntry:
-    """Return a config with a key drawn at random."""
-    key = "" if plaintext else secrets.token_hex(BLOCK)
-    entry = KeyEntry(number, server_id_length, nonce_length, key, self_encoded, token_key=secrets.token_hex(SECRET))
+    """Return an active config with random keys; `plaintext` leaves its ids unencrypted.
+
+    Raise KeyRingError if a value is out of bounds.
+    """
+    key = "" if plaintext else secrets.token_hex(AES_BLOCK_BYTES)
+    entry = KeyEntry(
+        number, server_id_length, nonce_length, key, self_encoded, token_key=secrets.token_hex(SECRET_KEY_BYTES)
+    )
     entry.config()
     return entry
 
@@ -144,6 +155,6 @@
 def new_ring(
     server_id_length: int = 8, nonce_length: int = 8, plaintext: bool = False, self_encoded: bool = True
 ) -> KeyRing:
-    """Return a ring with one config; the lengths fill a block unless others are asked for."""
+    """Return a ring with one config; the default lengths fill an AES block, so that ids take the single-pass form."""
     entry = new_entry(0, server_id_length, nonce_length, plaintext, self_encoded)
-    return KeyRing((entry,), secrets.token_hex(SECRET), secrets.token_hex(SECRET))
+    return KeyRing((entry,), secrets.token_hex(SECRET_KEY_BYTES), secrets.token_hex(SECRET_KEY_BYTES))
--- a/scaledeal/quic/ids/tokens.py
+++ b/scaledeal/quic/ids/tokens.py
@@ -1,7 +1,8 @@
 """Stateless reset tokens and Retry tokens.
 
-Reset: RFC 9000 section 10.3; the token is a MAC of the id under the shared reset key, as section 10.3.2 proposes.
-Retry: RFC 9000 section 8.1.2 to 8.1.4; the token is sealed (AES-GCM), bound to the client's address and expires.
+Stateless reset (RFC 9000 section 10.3): the token is a MAC of the id under the shared reset key, as section 10.3.2
+proposes. Retry (RFC 9000 sections 8.1.2 to 8.1.4): the token is sealed with AES-GCM, bound to the client's address
+and expires.
 """
 
 from __future__ import annotations
@@ -14,56 +15,66 @@
 from cryptography.exceptions import InvalidTag
 from cryptography.hazmat.primitives.ciphers.aead import AESGCM
 
-RESET_TOKEN = 16
-LEAST_RESET = 21  # bytes of a reset that looks like a packet (section 10.3)
-LONGEST_RESET = 42
-VALID = 10_000_000_000  # ns that a Retry token is good for
+RESET_TOKEN_BYTES = 16
+MIN_RESET_BYTES = 21  # a shorter one does not look like a packet (RFC 9000 section 10.3)
+MAX_RESET_BYTES = 42
+RETRY_TOKEN_LIFETIME_NS = 10_000_000_000
 
-Source = tuple[str, int]  # a peer's host and port
+Source = tuple[str, int]  # a peer's IP address and UDP port
 
 
 def reset_token(key: bytes, cid: bytes) -> bytes:
-    """Return the stateless reset token of an id."""
-    return hmac.digest(key, b"scaledeal reset" + cid, sha256)[:RESET_TOKEN]
+    """Return the stateless reset token of a connection id."""
+    return hmac.digest(key, b"scaledeal reset" + cid, sha256)[:RESET_TOKEN_BYTES]
 
 
-def reset(key: bytes, cid: bytes, trigger: int) -> bytes:
-    """Return a stateless reset, shorter than the datagram of so many bytes that it answers.
+def stateless_reset(key: bytes, cid: bytes, trigger_bytes: int) -> bytes:
+    """Return a stateless reset that is shorter than the datagram of `trigger_bytes` bytes that it answers.
 
-    Empty where that is too short for one: two endpoints that reset each other must come to an end.
+    Empty if that datagram is too short. The shrinking size ends a loop of two endpoints that reset each other.
     """
-    length = min(trigger - 1, LONGEST_RESET)
-    if length < LEAST_RESET:
+    length = min(trigger_bytes - 1, MAX_RESET_BYTES)
+    if length < MIN_RESET_BYTES:
         return b""
-    noise = secrets.token_bytes(length - RESET_TOKEN)
-    return bytes((noise[0] & 0x3F | 0x40,)) + noise[1:] + reset_token(key, cid)
+    random_bytes = secrets.token_bytes(length - RESET_TOKEN_BYTES)
+    return bytes((random_bytes[0] & 0x3F | 0x40,)) + random_bytes[1:] + reset_token(key, cid)
 
 
 class RetryToken(msgspec.Struct, frozen=True, array_like=True):
-    """What a Retry token says, for the relay and for the tile server, which sees no client's address."""
+    """The content of a Retry token, read by relays and by tile servers, which do not see the client's address."""
 
-    expires: int  # Unix time in ns: relays share no other clock
+    expires: int  # Unix time in ns, the only clock that relays share
     original_dcid: bytes
     retry_scid: bytes
-    source: Source  # whose it is
+    source: Source  # the client that the token was issued to
 
 
 def seal(key: bytes, token: RetryToken) -> bytes:
-    """Return a Retry token."""
+    """Return a Retry token, sealed under the shared Retry key."""
     nonce = secrets.token_bytes(12)
     return nonce + AESGCM(key).encrypt(nonce, msgspec.msgpack.encode(token), b"scaledeal retry")
 
 
 def unseal(key: bytes, sealed: bytes, source: Source, unix_now: int) -> RetryToken | None:
-    """Return what a Retry token says; None where it is another's, altered, or past its time."""
-    token = opened(key, sealed)
-    mine = token is not None and token.source == source
-    # Guards against a clock that was ahead when the token was made: it is not good for longer than it should be.
-    return token if mine and token is not None and unix_now <= token.expires <= unix_now + 2 * VALID else None
+    """Return a Retry token's content; None if it was issued to another source, altered or expired.
+
+    `unix_now` is Unix time in ns.
+    """
+    token = decrypt(key, sealed)
+    is_from_source = token is not None and token.source == source
+    # The upper bound rejects a token of a relay whose clock was ahead, which would stay valid for too long.
+    return (
+        token
+        if is_from_source and token is not None and unix_now <= token.expires <= unix_now + 2 * RETRY_TOKEN_LIFETIME_NS
+        else None
+    )
 
 
-def opened(key: bytes, sealed: bytes) -> RetryToken | None:
-    """Return what a token says, whoever's it is and whatever its time: for tile servers, which the relay guards."""
+def decrypt(key: bytes, sealed: bytes) -> RetryToken | None:
+    """Return a token's content without checking its source and expiry; None if it is altered.
+
+    For tile servers only, as their relay has made these checks before.
+    """
     if not 28 <= len(sealed) <= 256:
         return None
     try:
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from scaledeal.quic.ids import key_file, tokens
-from scaledeal.quic.ids.keys import KeyRing, KeyRingError, Standing, new_entry, new_ring
+from scaledeal.quic.ids.keys import ConfigState, KeyRing, KeyRingError, new_entry, new_ring
 from scaledeal.quic.ids.lb import Codec, Config, ConfigError
 from scaledeal.quic.ids.servers import ServerIds, server_id
 
@@ -72,12 +72,12 @@
     codecs = {0: Codec(Config(0, 1, 8))}
     ids = ServerIds(codecs)
     names = [f"s-{number}" for number in range(40)]
-    pairs = ids.know(names)
-    assert pairs and ids.know(names) == frozenset()
+    pairs = ids.set_names(names)
+    assert pairs and ids.set_names(names) == frozenset()
     shared = {name for pair in pairs for name in pair}
     for name in names:
-        assert ids.server(codecs[0].new(server_id(name, 1))) == ("" if name in shared else name)
-    assert ids.know([name for name in names if name not in shared]) == frozenset()
+        assert ids.server_name(codecs[0].new(server_id(name, 1))) == ("" if name in shared else name)
+    assert ids.set_names([name for name in names if name not in shared]) == frozenset()
 
 
 def test_ids_of_an_old_config_route_until_it_is_retired() -> None:
@@ -86,12 +86,12 @@
     old = ring.codecs()[0].new(server_id("s", 8))
     ring = ring.rotated(6, 7)
     ids = ServerIds(ring.codecs())
-    ids.know(["s"])
+    ids.set_names(["s"])
     new = ring.codecs()[ring.active.number].new(server_id("s", 6))
-    assert (ids.server(old), ids.server(new)) == ("s", "s")
+    assert (ids.server_name(old), ids.server_name(new)) == ("s", "s")
     assert ids.id_length(old[0]) == 17 and ids.id_length(new[0]) == 14
-    ids.rekey(ring.retired(0).codecs())
-    assert (ids.server(old), ids.server(new), ids.id_length(old[0])) == ("", "s", 0)
+    ids.set_codecs(ring.retired(0).codecs())
+    assert (ids.server_name(old), ids.server_name(new), ids.id_length(old[0])) == ("", "s", 0)
 
 
 def test_a_ring_keeps_its_own_rules() -> None:
@@ -103,7 +103,7 @@
         ring.retired(3)
     for _ in range(6):
         ring = ring.rotated(8, 8)
-    assert [each.standing for each in ring.configs].count(Standing.ACTIVE) == 1
+    assert [each.state for each in ring.configs].count(ConfigState.ACTIVE) == 1
     with pytest.raises(KeyRingError, match="retire one"):
         ring.rotated(8, 8)
     with pytest.raises(KeyRingError, match="same id"):
@@ -124,7 +124,7 @@
     with pytest.raises(KeyRingError, match="0600"):
         key_file.read(path)
     path.chmod(0o600)
-    for text in ("", "{", '{"configs":[],"reset_key":"","retry_key":""}', "x" * (key_file.LONGEST + 1)):
+    for text in ("", "{", '{"configs":[],"reset_key":"","retry_key":""}', "x" * (key_file.MAX_FILE_BYTES + 1)):
         path.write_text(text)
         with pytest.raises(KeyRingError) as told:
             key_file.read(path)
@@ -141,7 +141,7 @@
     key = bytes(32)
     size = 1200
     while size:
-        answer = tokens.reset(key, b"id", size)
+        answer = tokens.stateless_reset(key, b"id", size)
         assert len(answer) < size
         assert not answer or (answer[0] & 0xC0 == 0x40 and answer[-16:] == tokens.reset_token(key, b"id"))
         size = len(answer)
@@ -151,12 +151,12 @@
 def test_a_retry_token_is_one_clients_for_a_while(at: int, change: int) -> None:
     """Altered, cut, late, of the future, or another client's: not taken."""
     key, mine = bytes(range(32)), ("127.0.0.1", 40000)
-    sealed = tokens.seal(key, tokens.RetryToken(1000 + tokens.VALID, b"first", b"second", mine))
+    sealed = tokens.seal(key, tokens.RetryToken(1000 + tokens.RETRY_TOKEN_LIFETIME_NS, b"first", b"second", mine))
     told = tokens.unseal(key, sealed, mine, 1000)
     assert told is not None and (told.original_dcid, told.retry_scid) == (b"first", b"second")
     assert tokens.unseal(key, sealed, ("127.0.0.1", 40001), 1000) is None
-    assert tokens.unseal(key, sealed, mine, 1001 + tokens.VALID) is None
-    assert tokens.unseal(key, sealed, mine, -1000 - 2 * tokens.VALID) is None
+    assert tokens.unseal(key, sealed, mine, 1001 + tokens.RETRY_TOKEN_LIFETIME_NS) is None
+    assert tokens.unseal(key, sealed, mine, -1000 - 2 * tokens.RETRY_TOKEN_LIFETIME_NS) is None
     assert tokens.unseal(bytes(32), sealed, mine, 1000) is None
     at %= len(sealed)
     altered = sealed[:at] + bytes((sealed[at] ^ change,)) + sealed[at + 1 :]
--- a/tests/test_quic_router.py
+++ b/tests/test_quic_router.py
@@ -321,7 +321,7 @@
     assert retry.packet_type is packet.PacketType.RETRY and len(told[0].datagram) < 1200
     with_token = first(retry.scid, token=retry.token, number=1)
     assert kinds(made.from_client(0, 5, ("h", 3), with_token)) == ["ToClient"]
-    assert kinds(made.from_client(0, 5 + 2 * tokens.VALID, ("h", 2), with_token)) == ["ToClient"]
+    assert kinds(made.from_client(0, 5 + 2 * tokens.RETRY_TOKEN_LIFETIME_NS, ("h", 2), with_token)) == ["ToClient"]
     assert made.table.under_way == 1
     assert kinds(made.from_client(0, 5, ("h", 2), with_token)) == ["Ask"]
 
