--- a/benchmarks/quic_path.py
+++ b/benchmarks/quic_path.py
@@ -351,17 +351,17 @@
 
 def stack(seconds: float) -> dict[str, float]:
     """Return how many datagrams a second aioquic alone handles, both ends on one core: ending QUIC here costs half."""
-    from scaledeal.lab.quic.checker import Record
+    from scaledeal.lab.quic.checker import TrafficRecord
     from scaledeal.lab.quic.client import Client
     from scaledeal.lab.quic.tile_server import TileServer
 
-    loop, record = Loop(), Record()
+    loop, record = Loop(), TrafficRecord()
     server = TileServer(loop, "s-0", new_ring(), record)
     host, _, port = server.address.rpartition(":")
-    client = Client(loop, (host, int(port)), record).until_up()
+    client = Client(loop, (host, int(port)), record).wait_connected()
     began, count = time.process_time(), 0
     while time.process_time() - began < seconds:
-        client.asked()
+        client.request()
         count += 2
     loop.close()
     return {"datagrams_a_second": count / (time.process_time() - began)}
--- a/scaledeal/lab/quic/__init__.py
+++ b/scaledeal/lab/quic/__init__.py
@@ -1,1 +1,1 @@
-"""Peers that speak QUIC, on aioquic without its own event loop: a tile server, a client, and their checker."""
+"""QUIC peers on aioquic, driven by the laboratory's own loop: a tile server, a client, and a traffic checker."""
--- a/scaledeal/lab/quic/checker.py
+++ b/scaledeal/lab/quic/checker.py
@@ -1,6 +1,6 @@
-"""Counts answers and attempts from what crossed the sockets, with aioquic's own reading of the packets.
+"""Checks answers and attempts in the datagrams that peers received, parsed with aioquic.
 
-It knows nothing of the relay: not its log, not its figures, none of its packet code.
+Uses nothing of the relay, neither its log, its metrics nor its packet code, so that a fault there can't hide itself.
 """
 
 from __future__ import annotations
@@ -12,43 +12,45 @@
 from aioquic.quic.crypto import CryptoPair
 from aioquic.quic.packet import QuicPacketType, pull_quic_header
 
-_CLOSE, _CRYPTO = 0x1C, 0x06
+# Frame types (RFC 9000 section 19)
+_CONNECTION_CLOSE = 0x1C
+_CRYPTO = 0x06
 
 
 class Attempt:
-    """One flow at one server: when its first and last words came (kernel's Unix time, ns)."""
+    """One flow's attempt at one server; times are the kernel's Unix time in ns."""
 
-    def __init__(self, server: str, first: int) -> None:
+    def __init__(self, server: str, started_at: int) -> None:
         self.server = server
-        self.first = first
-        self.closed = 0  # when the relay closed it; 0 where it did not
+        self.started_at = started_at
+        self.closed_at = 0  # when the relay closed it; 0 while it is open
 
 
-class Record:
-    """What crossed the sockets of one rehearsal."""
+class TrafficRecord:
+    """The attempts and answers of a test run, as received by servers and clients."""
 
     def __init__(self) -> None:
         self.attempts: dict[bytes, list[Attempt]] = {}
         self.answers: dict[bytes, set[str]] = {}
-        self.last_at: dict[str, int] = {}  # when each server last got something new
-        self._keyed: dict[bytes, bytes] = {}  # the id that a flow's keys follow from, once it was sent a Retry
+        self.last_attempt_at: dict[str, int] = {}  # by server: Unix time in ns
+        self._retry_scids: dict[bytes, bytes] = {}  # after a Retry, a flow's Initial keys derive from its source id
 
-    # What the stand-ins tell
+    # Called by the peers
 
-    def at_server(self, server: str, datagram: bytes, at: int) -> None:
-        """Note a datagram that reached a server."""
-        for header, payload in _initials(datagram, False):
+    def add_server_datagram(self, server: str, datagram: bytes, received_at: int) -> None:
+        """Record a datagram that `server` received at Unix time `received_at` (ns)."""
+        for header, payload in _decrypted_initials(datagram, False):
             attempts = self.attempts.setdefault(header.destination_cid, [])
-            mine = next((each for each in attempts if each.server == server), None)
-            if _frame_at(payload) == _CLOSE:
-                if mine is not None and not mine.closed:
-                    mine.closed = at
-            elif mine is None:
-                attempts.append(Attempt(server, at))
-                self.last_at[server] = at
-
-    def at_client(self, dcid: bytes, datagram: bytes) -> None:
-        """Note a datagram that reached a client: an answer, if it holds one."""
+            attempt = next((each for each in attempts if each.server == server), None)
+            if _first_frame_type(payload) == _CONNECTION_CLOSE:
+                if attempt is not None and not attempt.closed_at:
+                    attempt.closed_at = received_at
+            elif attempt is None:
+                attempts.append(Attempt(server, received_at))
+                self.last_attempt_at[server] = received_at
+
+    def add_client_datagram(self, dcid: bytes, datagram: bytes) -> None:
+        """Record the answer in a datagram that a client received, if it holds one; `dcid` is the flow's first id."""
         if not datagram or not datagram[0] & 0x80:
             return
         try:
@@ -56,41 +58,41 @@
         except ValueError:
             return
         if header.packet_type is QuicPacketType.RETRY:
-            self._keyed.setdefault(dcid, header.source_cid)  # no answer: the client begins anew with a token
+            self._retry_scids.setdefault(dcid, header.source_cid)  # not an answer: the client starts again with a token
             return
-        for each, payload in _initials(datagram, True, self._keyed.get(dcid, dcid)):
-            kind = _frame_at(payload)
-            if kind == _CLOSE:
+        for packet_header, payload in _decrypted_initials(datagram, True, self._retry_scids.get(dcid, dcid)):
+            frame_type = _first_frame_type(payload)
+            if frame_type == _CONNECTION_CLOSE:
                 self.answers.setdefault(dcid, set()).add("closed")
-            elif kind == _CRYPTO:
-                self.answers.setdefault(dcid, set()).add(f"served by {each.source_cid.hex()}")
+            elif frame_type == _CRYPTO:
+                self.answers.setdefault(dcid, set()).add(f"served by {packet_header.source_cid.hex()}")
 
-    # What is asked of it
+    # Results
 
     def violations(self) -> list[str]:
-        """Return every rule that was broken."""
-        broken = [f"{dcid.hex()}: two final answers" for dcid, kinds in self.answers.items() if len(kinds) > 1]
+        """Return a text for each violation: two final answers, over 6 attempts, or two attempts open at once."""
+        violations = [f"{dcid.hex()}: two final answers" for dcid, answers in self.answers.items() if len(answers) > 1]
         for dcid, attempts in self.attempts.items():
-            in_order = sorted(attempts, key=lambda each: each.first)
+            in_order = sorted(attempts, key=lambda each: each.started_at)
             if len(in_order) > 6:
-                broken.append(f"{dcid.hex()}: {len(in_order)} attempts")
-            for one, next_one in zip(in_order, in_order[1:], strict=False):
-                if not one.closed or one.closed > next_one.first:
-                    broken.append(f"{dcid.hex()}: out at {one.server} and {next_one.server} at once")
-        return broken
+                violations.append(f"{dcid.hex()}: {len(in_order)} attempts")
+            for earlier, later in zip(in_order, in_order[1:], strict=False):
+                if not earlier.closed_at or earlier.closed_at > later.started_at:
+                    violations.append(f"{dcid.hex()}: attempts open at {earlier.server} and {later.server} at once")
+        return violations
 
     def unanswered(self, dcids: list[bytes]) -> list[str]:
-        """Return those of these flows that got no final answer."""
+        """Return the ids (hexadecimal) of those flows in `dcids` that got no final answer."""
         return [dcid.hex() for dcid in dcids if dcid not in self.answers]
 
 
 def server_initial(header: Any, frames: bytes, scid: bytes) -> bytes:
-    """Return a server's Initial that answers a client's and holds these frames."""
+    """Return a protected server Initial with `frames` that answers the client Initial with `header`."""
     pair = CryptoPair()
     pair.setup_initial(header.destination_cid, is_client=False, version=header.version)
     payload = frames.ljust(24, b"\0")
     length = 4 + len(payload) + 16
-    plain = (
+    plain_header = (
         bytes((0xC3,))
         + header.version.to_bytes(4, "big")
         + bytes((len(header.source_cid),))
@@ -101,11 +103,14 @@
         + (length | 0x4000).to_bytes(2, "big")
         + bytes(4)
     )
-    return pair.encrypt_packet(plain, payload, 0)
+    return pair.encrypt_packet(plain_header, payload, 0)
 
 
-def _initials(datagram: bytes, from_server: bool, dcid: bytes | None = None) -> list[tuple[Any, bytes]]:
-    """Return the Initial packets of a datagram that open, with their payloads."""
+def _decrypted_initials(datagram: bytes, from_server: bool, dcid: bytes | None = None) -> list[tuple[Any, bytes]]:
+    """Return header and payload of each Initial packet in a datagram that can be decrypted.
+
+    `dcid` is the id that the keys derive from, by default the packet's destination id.
+    """
     found: list[tuple[Any, bytes]] = []
     buffer = Buffer(data=datagram)
     while not buffer.eof():
@@ -127,15 +132,15 @@
     return found
 
 
-def _frame_at(payload: bytes) -> int:
-    """Return the type of the first frame that is no padding, PING or ACK."""
+def _first_frame_type(payload: bytes) -> int:
+    """Return the type of the first frame other than PADDING, PING and ACK; -1 if there is none."""
     buffer = Buffer(data=payload)
     while not buffer.eof():
-        kind = buffer.pull_uint_var()
-        if kind in (0x02, 0x03):
+        frame_type = buffer.pull_uint_var()
+        if frame_type in (0x02, 0x03):
             _, _, ranges, _ = (buffer.pull_uint_var() for _ in range(4))
-            for _ in range(2 * ranges + (3 if kind == 3 else 0)):
+            for _ in range(2 * ranges + (3 if frame_type == 3 else 0)):
                 buffer.pull_uint_var()
-        elif kind not in (0x00, 0x01):
-            return kind
+        elif frame_type not in (0x00, 0x01):
+            return frame_type
     return -1
--- a/scaledeal/lab/quic/datagrams.py
+++ b/scaledeal/lab/quic/datagrams.py
@@ -1,18 +1,18 @@
-"""UDP sockets that know when the kernel took each datagram, so that what came first can be told for certain."""
+"""UDP sockets with kernel receive timestamps, which order datagrams reliably across sockets."""
 
 from __future__ import annotations
 
 import socket
 import struct
 
-SO_TIMESTAMPNS = 35  # Linux, asm-generic/socket.h; socket(7)
-_TIME = struct.Struct("@ll")
+SO_TIMESTAMPNS = 35  # Linux: asm-generic/socket.h, socket(7)
+_TIMESPEC = struct.Struct("@ll")
 
 Source = tuple[str, int]
 
 
-def udp(host: str = "127.0.0.1", port: int = 0) -> socket.socket:
-    """Return a bound socket that does not block."""
+def udp_socket(host: str = "127.0.0.1", port: int = 0) -> socket.socket:
+    """Return a bound, non-blocking UDP socket with kernel timestamps enabled."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
@@ -21,15 +21,20 @@
     return sock
 
 
-def received(sock: socket.socket) -> list[tuple[bytes, Source, int]]:
-    """Return what waits: datagram, source and the kernel's Unix time (ns) of its coming."""
-    found: list[tuple[bytes, Source, int]] = []
+def receive_pending(sock: socket.socket) -> list[tuple[bytes, Source, int]]:
+    """Return the pending datagrams as (data, source, Unix time in ns of their receipt by the kernel; 0 if unknown)."""
+    datagrams: list[tuple[bytes, Source, int]] = []
     while True:
         try:
-            data, about, _, source = sock.recvmsg(65_536, 64)
-        except OSError:  # nothing more, or a refusal of something sent before
-            return found
+            data, ancillary, _, source = sock.recvmsg(65_536, 64)
+        except OSError:  # no more datagrams, or an ICMP error for one sent before
+            return datagrams
         seconds, nanoseconds = next(
-            (_TIME.unpack(value[: _TIME.size]) for _, kind, value in about if kind == SO_TIMESTAMPNS), (0, 0)
+            (
+                _TIMESPEC.unpack(value[: _TIMESPEC.size])
+                for _, message_type, value in ancillary
+                if message_type == SO_TIMESTAMPNS
+            ),
+            (0, 0),
         )
-        found.append((data, source, seconds * 1_000_000_000 + nanoseconds))
+        datagrams.append((data, source, seconds * 1_000_000_000 + nanoseconds))
--- a/scaledeal/lab/quic/tile_server.py
+++ b/scaledeal/lab/quic/tile_server.py
@@ -1,4 +1,4 @@
-"""A stand-in tile server that speaks QUIC and gives its connections ids that route (QUIC-LB)."""
+"""A test tile server that speaks QUIC and issues routable connection ids (QUIC-LB)."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from cryptography.hazmat.primitives.hashes import SHA256
 
 from scaledeal.lab.loop import Loop
-from scaledeal.lab.quic.checker import Record, server_initial
-from scaledeal.lab.quic.datagrams import Source, received, udp
+from scaledeal.lab.quic.checker import TrafficRecord, server_initial
+from scaledeal.lab.quic.datagrams import Source, receive_pending, udp_socket
 from scaledeal.quic.ids import tokens
 from scaledeal.quic.ids.keys import KeyRing
 from scaledeal.quic.ids.servers import server_id
@@ -27,29 +27,30 @@
 ALPN = ["tiles"]
 
 
-class Habit(Enum):
-    """How a server behaves towards what is new."""
+class Behaviour(Enum):
+    """How a server handles datagrams; all but HUNG affect new connections only."""
 
-    SOUND = 1
-    HUNG = 2  # takes datagrams and answers none, old or new
+    HEALTHY = 1
+    HUNG = 2  # receives datagrams and answers none, on existing connections as well
     REFUSING = 3  # closes with CONNECTION_REFUSED
     FAILING = 4  # closes with INTERNAL_ERROR
-    ACKING = 5  # acknowledges the first Initial and says nothing else
+    ACK_ONLY = 5  # acknowledges the first Initial and sends nothing else
 
 
 @cache
 def _certificate() -> tuple[Any, Any]:
+    """Return a self-signed certificate and its key."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "tiles.example")])
     now = datetime.datetime.now(datetime.UTC)
-    made = x509.CertificateBuilder(
+    certificate = x509.CertificateBuilder(
         name, name, key.public_key(), x509.random_serial_number(), now, now + datetime.timedelta(days=2)
     ).sign(key, SHA256())
-    return made, key
+    return certificate, key
 
 
 class RoutedConnection(QuicConnection):
-    """A connection whose ids say which server it is at."""
+    """A server connection whose ids encode its server's id."""
 
     def __init__(self, server: TileServer, odcid: bytes, retry_scid: bytes | None) -> None:
         ring = server.ring
@@ -74,10 +75,10 @@
         self._host_cids = [first]
         self.host_cid = self._local_initial_source_connection_id = first.cid
 
-    def _new_id(self, number: int) -> QuicConnectionId:
+    def _new_id(self, sequence_number: int) -> QuicConnectionId:
         cid = self.codec.new(self.sid)
         return QuicConnectionId(
-            cid=cid, sequence_number=number, stateless_reset_token=tokens.reset_token(self.reset_key, cid)
+            cid=cid, sequence_number=sequence_number, stateless_reset_token=tokens.reset_token(self.reset_key, cid)
         )
 
     def _replenish_connection_ids(self) -> None:
@@ -87,97 +88,98 @@
 
     @property
     def ids(self) -> list[bytes]:
-        """Return the ids that are its own now."""
+        """Return the connection's own ids that are in use now."""
         return [each.cid for each in self._host_cids]
 
 
 class TileServer:
-    """Echoes lines: ``ask N`` comes back as ``NAME N``; owns its UDP socket."""
+    """Answers the line ``ask N`` with ``NAME N``; owns its UDP socket."""
 
-    def __init__(self, loop: Loop, name: str, ring: KeyRing, record: Record, port: int = 0) -> None:
+    def __init__(self, loop: Loop, name: str, ring: KeyRing, record: TrafficRecord, port: int = 0) -> None:
         self.loop = loop
         self.name = name
         self.ring = ring
         self.record = record
-        self.habit = Habit.SOUND
-        self.sock = udp(port=port)
+        self.behaviour = Behaviour.HEALTHY
+        self.sock = udp_socket(port=port)
         loop.read(self.sock, self._read)
         self.connections: list[RoutedConnection] = []
         self.by_odcid: dict[tuple[Source, bytes], RoutedConnection] = {}
-        self.sources: dict[RoutedConnection, list[Source]] = {}  # where each was heard from, in order
+        self.sources: dict[RoutedConnection, list[Source]] = {}  # each connection's client addresses, in order of use
         self.lines: list[tuple[RoutedConnection, str]] = []
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address it listens on, as HOST:PORT."""
         return f"127.0.0.1:{self.sock.getsockname()[1]}"
 
-    def move_to(self, port: int = 0) -> None:
-        """Go on at another address, with all connections."""
+    def rebind(self, port: int = 0) -> None:
+        """Continue at another port, with all connections."""
         self.loop.forget(self.sock)
-        self.sock = udp(port=port)
+        self.sock = udp_socket(port=port)
         self.loop.read(self.sock, self._read)
 
     def stop(self) -> None:
-        """Be gone, with everything."""
+        """Stop listening and drop all connections without closing them."""
         self.loop.forget(self.sock)
         self.connections, self.by_odcid = [], {}
 
     def rotate(self) -> None:
-        """Use another of each client's ids from now on."""
+        """Switch every connection to another id that its client issued."""
         for connection in self.connections:
             connection.change_connection_id()
             self._flush(connection)
 
     def _read(self) -> None:
-        for datagram, source, at in received(self.sock):
-            self.record.at_server(self.name, datagram, at)
-            if self.habit is not Habit.HUNG:
-                self._take(datagram, source)
+        for datagram, source, received_at in receive_pending(self.sock):
+            self.record.add_server_datagram(self.name, datagram, received_at)
+            if self.behaviour is not Behaviour.HUNG:
+                self._handle_datagram(datagram, source)
 
-    def _take(self, datagram: bytes, source: Source) -> None:
+    def _handle_datagram(self, datagram: bytes, source: Source) -> None:
         length = {each.number: each.config().length for each in self.ring.configs}.get(datagram[1] >> 5, 8)
         try:
             header = pull_quic_header(Buffer(data=datagram), host_cid_length=length)
         except ValueError:
             return
-        connection = self._find(header.destination_cid, source)
+        connection = self._find_connection(header.destination_cid, source)
         if connection is None and header.packet_type is QuicPacketType.INITIAL and len(datagram) >= 1200:
-            connection = self._new(header, source)
+            connection = self._accept(header, source)
         if connection is None:
             return
-        heard = self.sources.setdefault(connection, [])
-        if not heard or heard[-1] != source:
-            heard.append(source)
+        sources = self.sources.setdefault(connection, [])
+        if not sources or sources[-1] != source:
+            sources.append(source)
         connection.receive_datagram(datagram, source, now=self.loop.now())
         self._flush(connection)
 
-    def _find(self, cid: bytes, source: Source) -> RoutedConnection | None:
+    def _find_connection(self, cid: bytes, source: Source) -> RoutedConnection | None:
         found = next((each for each in self.connections if cid in each.ids), None)
         return found or self.by_odcid.get((source, cid))
 
-    def _new(self, header: Any, source: Source) -> RoutedConnection | None:
+    def _accept(self, header: Any, source: Source) -> RoutedConnection | None:
+        """Return a new connection for a client's Initial; None if the server's behaviour is not to serve it."""
         odcid, retry_scid = header.destination_cid, None
         if header.token:
-            told = tokens.decrypt(self.ring.secret("retry_key"), header.token)
-            if told is not None:
-                odcid, retry_scid = told.original_dcid, told.retry_scid
+            retry_token = tokens.decrypt(self.ring.secret("retry_key"), header.token)
+            if retry_token is not None:
+                odcid, retry_scid = retry_token.original_dcid, retry_token.retry_scid
         connection = RoutedConnection(self, odcid, retry_scid)
-        if self.habit in (Habit.REFUSING, Habit.FAILING):
-            self._turn_away(header, source)
+        if self.behaviour in (Behaviour.REFUSING, Behaviour.FAILING):
+            self._send_close(header, source)
             return None
-        if self.habit is Habit.ACKING:
-            self._acknowledge(header, source)
+        if self.behaviour is Behaviour.ACK_ONLY:
+            self._send_ack(header, source)
             return None
         self.connections.append(connection)
         self.by_odcid[source, header.destination_cid] = connection
         return connection
 
-    def _turn_away(self, header: Any, source: Source) -> None:
-        code = 2 if self.habit is Habit.REFUSING else 1
+    def _send_close(self, header: Any, source: Source) -> None:
+        code = 2 if self.behaviour is Behaviour.REFUSING else 1
         self.sock.sendto(server_initial(header, bytes((0x1C, code, 0, 0)), secrets.token_bytes(8)), source)
 
-    def _acknowledge(self, header: Any, source: Source) -> None:
+    def _send_ack(self, header: Any, source: Source) -> None:
         self.sock.sendto(server_initial(header, bytes((2, 0, 0, 0, 0)), secrets.token_bytes(8)), source)
 
     def _flush(self, connection: RoutedConnection) -> None:
@@ -192,14 +194,14 @@
         for datagram, source in connection.datagrams_to_send(now=self.loop.now()):
             if self.sock.fileno() >= 0:
                 self.sock.sendto(datagram, source)
-        self._arm(connection)
+        self._arm_timer(connection)
 
-    def _arm(self, connection: RoutedConnection) -> None:
+    def _arm_timer(self, connection: RoutedConnection) -> None:
         due = connection.get_timer()
         if due is not None and connection in self.connections:
-            self.loop.at(due, lambda: self._due(connection, due))
+            self.loop.at(due, lambda: self._on_timer(connection, due))
 
-    def _due(self, connection: RoutedConnection, due: float) -> None:
-        if connection.get_timer() == due and connection in self.connections and self.habit is not Habit.HUNG:
+    def _on_timer(self, connection: RoutedConnection, due: float) -> None:
+        if connection.get_timer() == due and connection in self.connections and self.behaviour is not Behaviour.HUNG:
             connection.handle_timer(now=self.loop.now())
             self._flush(connection)
--- a/tests/quic_world.py
+++ b/tests/quic_world.py
@@ -8,7 +8,7 @@
 
 from scaledeal.lab.discovery import Discovery
 from scaledeal.lab.loop import Loop
-from scaledeal.lab.quic.checker import Record
+from scaledeal.lab.quic.checker import TrafficRecord
 from scaledeal.lab.quic.client import Client
 from scaledeal.lab.quic.tile_server import TileServer
 from scaledeal.lab.relay import RelayProcess
@@ -32,7 +32,7 @@
     def __init__(self, folder: Path, servers: int = 2, rules: str = RULES, port: int = 0, **settings: Any) -> None:
         self.folder = folder
         self.loop = Loop()
-        self.record = Record()
+        self.record = TrafficRecord()
         self.keys = folder / "quic.keys"
         key_file.write(self.keys, new_ring())
         self.file = folder / "scaledeal.hcl"
