--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -1,4 +1,4 @@
-"""The checker of QUIC rehearsals has to speak where a rule is broken: else its silence says nothing."""
+"""The QUIC traffic checker reports each kind of violation; a checker that misses one makes the flow tests void."""
 
 from __future__ import annotations
 
@@ -20,38 +20,43 @@
     return encode_initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
 
 
-ASKS, CLOSES = from_client(frames.encode_crypto(0, HELLO)), from_client(frames.encode_connection_close(0))
+CLIENT_HELLO, CLIENT_CLOSE = from_client(frames.encode_crypto(0, HELLO)), from_client(frames.encode_connection_close(0))
 
 
-def test_attempts() -> None:
-    """Two at once, seven in all, and a close that comes after the next has begun."""
-    sound, at_once, late, many = TrafficRecord(), TrafficRecord(), TrafficRecord(), TrafficRecord()
+def test_attempt_violations() -> None:
+    """Two open attempts, seven attempts, and a close after the next attempt's start are violations."""
+    valid, overlapping, late_close, too_many = TrafficRecord(), TrafficRecord(), TrafficRecord(), TrafficRecord()
     for record, events in (
-        (sound, (("a", ASKS, 1), ("a", CLOSES, 2), ("b", ASKS, 3), ("b", ASKS, 4))),
-        (at_once, (("a", ASKS, 1), ("b", ASKS, 3))),
-        (late, (("a", ASKS, 1), ("b", ASKS, 3), ("a", CLOSES, 4))),
+        (valid, (("a", CLIENT_HELLO, 1), ("a", CLIENT_CLOSE, 2), ("b", CLIENT_HELLO, 3), ("b", CLIENT_HELLO, 4))),
+        (overlapping, (("a", CLIENT_HELLO, 1), ("b", CLIENT_HELLO, 3))),
+        (late_close, (("a", CLIENT_HELLO, 1), ("b", CLIENT_HELLO, 3), ("a", CLIENT_CLOSE, 4))),
     ):
-        for server, datagram, at in events:
-            record.add_server_datagram(server, datagram, at)
+        for server, datagram, received_at in events:
+            record.add_server_datagram(server, datagram, received_at)
     for number in range(7):
-        many.add_server_datagram(str(number), ASKS, 2 * number + 1)
-        many.add_server_datagram(str(number), CLOSES, 2 * number + 2)
-    assert sound.violations() == []
-    assert [record.violations()[0].split(": ")[1] for record in (at_once, late, many)] == [
+        too_many.add_server_datagram(str(number), CLIENT_HELLO, 2 * number + 1)
+        too_many.add_server_datagram(str(number), CLIENT_CLOSE, 2 * number + 2)
+    assert valid.violations() == []
+    assert [record.violations()[0].split(": ")[1] for record in (overlapping, late_close, too_many)] == [
         "attempts open at a and b at once",
         "attempts open at a and b at once",
         "7 attempts",
     ]
 
 
-def test_answers() -> None:
-    """None, one that is repeated, one of two servers, and a refusal behind a service."""
-    hello = frames.encode_crypto(0, b"\2")
-    served, other = from_server(hello, b"server-a"), from_server(hello, b"server-b")
+def test_answer_violations() -> None:
+    """Answers of two servers, or a close after an answer, are violations, repeats are not; a missing answer shows."""
+    crypto = frames.encode_crypto(0, b"\2")
+    served, other = from_server(crypto, b"server-a"), from_server(crypto, b"server-b")
     closed = from_server(frames.encode_connection_close(2), b"server-a")
-    for said, broken in (((served, served), 0), ((closed, closed), 0), ((served, other), 1), ((served, closed), 1)):
+    for datagrams, violations in (
+        ((served, served), 0),
+        ((closed, closed), 0),
+        ((served, other), 1),
+        ((served, closed), 1),
+    ):
         record = TrafficRecord()
         assert record.unanswered([DCID])
-        for datagram in said:
+        for datagram in datagrams:
             record.add_client_datagram(DCID, datagram)
-        assert len(record.violations()) == broken and not record.unanswered([DCID])
+        assert len(record.violations()) == violations and not record.unanswered([DCID])
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -1,4 +1,4 @@
-"""Ids that route, keys and tokens: the draft's vectors, every form, and what must be refused."""
+"""Routable ids, keys and tokens: the draft's test vectors, round trips of every form, and rejected input."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize(("number", "sid", "nonce", "cid"), VECTORS)
-def test_the_vectors_of_the_draft(number: int, sid: str, nonce: str, cid: str) -> None:
-    """A pass, a padding or a half in another order gives ids that nobody else reads."""
+def test_ids_match_draft_vectors(number: int, sid: str, nonce: str, cid: str) -> None:
+    """A wrong order of passes or halves, or other padding, gives ids that other implementations can't decode."""
     codec = Codec(Config(number, len(sid) // 2, len(nonce) // 2, KEY))
     assert codec.encode(bytes.fromhex(sid), bytes.fromhex(nonce)).hex() == cid
     assert codec.decode(bytes.fromhex(cid)) == (bytes.fromhex(sid), bytes.fromhex(nonce))
@@ -44,31 +44,31 @@
 
 
 @given(configs(), st.data())
-def test_every_form_length_and_key(config: Config, data: st.DataObject) -> None:
-    """decode(encode) is the identity; a wrong key, another length or a cut id never raises."""
+def test_id_round_trip_for_every_config(config: Config, data: st.DataObject) -> None:
+    """Decoding reverses encoding; an id under a wrong key or a truncated id never raises."""
     sid = data.draw(st.binary(min_size=config.server_id_length, max_size=config.server_id_length))
     nonce = data.draw(st.binary(min_size=config.nonce_length, max_size=config.nonce_length))
     cid = Codec(config).encode(sid, nonce)
     assert len(cid) == config.length <= 20 and cid[0] >> 5 == config.number
     assert Codec(config).decode(cid) == (sid, nonce)
-    other = msgspec.structs.replace(config, key=data.draw(st.binary(min_size=16, max_size=16)))
-    found = Codec(other).decode(cid)
-    assert found is not None and len(found[0]) == config.server_id_length
-    for cut in range(len(cid)):
-        assert Codec(config).decode(cid[:cut]) is None
+    other_config = msgspec.structs.replace(config, key=data.draw(st.binary(min_size=16, max_size=16)))
+    decoded = Codec(other_config).decode(cid)
+    assert decoded is not None and len(decoded[0]) == config.server_id_length
+    for length in range(len(cid)):
+        assert Codec(config).decode(cid[:length]) is None
 
 
 @pytest.mark.parametrize("bad", [(7, 8, 8), (-1, 8, 8), (0, 0, 8), (0, 16, 4), (0, 8, 3), (0, 1, 19), (0, 10, 10)])
-def test_configs_out_of_bounds(bad: tuple[int, int, int]) -> None:
-    """The draft's bounds hold at the door, not at the first id."""
+def test_configs_out_of_bounds_are_rejected(bad: tuple[int, int, int]) -> None:
+    """A config outside the draft's bounds fails on construction, not on its first id."""
     with pytest.raises(ConfigError):
         Config(*bad)
     with pytest.raises(ConfigError):
         Config(0, 8, 8, b"short")
 
 
-def test_two_servers_with_one_id() -> None:
-    """An id that two servers share must reach neither, and be told, once."""
+def test_server_id_collision_is_not_routed() -> None:
+    """An id that two servers share routes to neither, and the collision is reported once."""
     codecs = {0: Codec(Config(0, 1, 8))}
     ids = ServerIds(codecs)
     names = [f"s-{number}" for number in range(40)]
@@ -80,8 +80,8 @@
     assert ids.set_names([name for name in names if name not in shared]) == frozenset()
 
 
-def test_ids_of_an_old_config_route_until_it_is_retired() -> None:
-    """Rotation under load: both configs are read, one is used for new ids."""
+def test_old_config_ids_route_until_retired() -> None:
+    """After a key rotation both configs route, and new ids use the active one."""
     ring = new_ring()
     old = ring.codecs()[0].new(server_id("s", 8))
     ring = ring.rotated(6, 7)
@@ -94,8 +94,8 @@
     assert (ids.server_name(old), ids.server_name(new), ids.id_length(old[0])) == ("", "s", 0)
 
 
-def test_a_ring_keeps_its_own_rules() -> None:
-    """One active config; seven at most; the active one stays."""
+def test_key_ring_invariants() -> None:
+    """A ring has exactly one active config, which can't be retired, and at most seven configs with distinct numbers."""
     ring = new_ring()
     with pytest.raises(KeyRingError, match="active"):
         ring.retired(0)
@@ -112,8 +112,8 @@
         KeyRing((new_entry(0, 8, 8),), "00" * 32, "zz")
 
 
-def test_the_key_file_is_guarded(tmp_path: Path) -> None:
-    """Others may not read it, a half-written one is refused, and no text shows a key."""
+def test_key_file_permissions_and_secrecy(tmp_path: Path) -> None:
+    """A key file open to others or malformed is refused with a one-line text, and no repr shows a key."""
     path = tmp_path / "keys"
     ring = new_ring()
     key_file.write(path, ring)
@@ -126,9 +126,9 @@
     path.chmod(0o600)
     for text in ("", "{", '{"configs":[],"reset_key":"","retry_key":""}', "x" * (key_file.MAX_FILE_BYTES + 1)):
         path.write_text(text)
-        with pytest.raises(KeyRingError) as told:
+        with pytest.raises(KeyRingError) as error:
             key_file.read(path)
-        assert "\n" not in str(told.value)
+        assert "\n" not in str(error.value)
     with pytest.raises(KeyRingError):
         key_file.read(tmp_path)
     with pytest.raises(KeyRingError):
@@ -136,8 +136,8 @@
     assert [each.name for each in tmp_path.iterdir()] == ["keys"]
 
 
-def test_resets_are_shorter_than_what_they_answer() -> None:
-    """Two endpoints that reset each other must come to an end (RFC 9000 section 10.3.3)."""
+def test_resets_are_shorter_than_the_datagrams_they_answer() -> None:
+    """Resets of equal size let two endpoints reset each other endlessly (RFC 9000 section 10.3.3)."""
     key = bytes(32)
     size = 1200
     while size:
@@ -148,17 +148,17 @@
 
 
 @given(st.integers(0, 300), st.integers(1, 255))
-def test_a_retry_token_is_one_clients_for_a_while(at: int, change: int) -> None:
-    """Altered, cut, late, of the future, or another client's: not taken."""
-    key, mine = bytes(range(32)), ("127.0.0.1", 40000)
-    sealed = tokens.seal(key, tokens.RetryToken(1000 + tokens.RETRY_TOKEN_LIFETIME_NS, b"first", b"second", mine))
-    told = tokens.unseal(key, sealed, mine, 1000)
-    assert told is not None and (told.original_dcid, told.retry_scid) == (b"first", b"second")
+def test_retry_token_is_bound_to_source_and_time(position: int, change: int) -> None:
+    """A token that is altered, truncated, expired, too far in the future or another client's is rejected."""
+    key, source = bytes(range(32)), ("127.0.0.1", 40000)
+    sealed = tokens.seal(key, tokens.RetryToken(1000 + tokens.RETRY_TOKEN_LIFETIME_NS, b"first", b"second", source))
+    token = tokens.unseal(key, sealed, source, 1000)
+    assert token is not None and (token.original_dcid, token.retry_scid) == (b"first", b"second")
     assert tokens.unseal(key, sealed, ("127.0.0.1", 40001), 1000) is None
-    assert tokens.unseal(key, sealed, mine, 1001 + tokens.RETRY_TOKEN_LIFETIME_NS) is None
-    assert tokens.unseal(key, sealed, mine, -1000 - 2 * tokens.RETRY_TOKEN_LIFETIME_NS) is None
-    assert tokens.unseal(bytes(32), sealed, mine, 1000) is None
-    at %= len(sealed)
-    altered = sealed[:at] + bytes((sealed[at] ^ change,)) + sealed[at + 1 :]
-    assert tokens.unseal(key, altered, mine, 1000) is None
-    assert tokens.unseal(key, sealed[:at], mine, 1000) is None
+    assert tokens.unseal(key, sealed, source, 1001 + tokens.RETRY_TOKEN_LIFETIME_NS) is None
+    assert tokens.unseal(key, sealed, source, -1000 - 2 * tokens.RETRY_TOKEN_LIFETIME_NS) is None
+    assert tokens.unseal(bytes(32), sealed, source, 1000) is None
+    position %= len(sealed)
+    altered = sealed[:position] + bytes((sealed[position] ^ change,)) + sealed[position + 1 :]
+    assert tokens.unseal(key, altered, source, 1000) is None
+    assert tokens.unseal(key, sealed[:position], source, 1000) is None
--- a/tests/test_quic_wire.py
+++ b/tests/test_quic_wire.py
@@ -1,4 +1,4 @@
-"""QUIC's bytes against the published vectors, and against what strangers may send."""
+"""QUIC codecs against the RFCs' test vectors and against arbitrary input."""
 
 from __future__ import annotations
 
@@ -34,41 +34,41 @@
 RETRY = bytes.fromhex("ff000000010008f067a5502a4262b5746f6b656e04a265ba2eff4d829058fb3f0f2496ba")
 
 
-def test_the_clients_initial_of_the_rfc() -> None:
-    """A wrong label, nonce or mask changes these bytes (appendix A.2)."""
+def test_client_initial_matches_rfc_vector() -> None:
+    """A wrong label, nonce or mask changes these bytes (RFC 9001 appendix A.2)."""
     sealed = encode_initial(InitialKeys(V1, DCID).client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
     assert sealed[:22].hex() == "c000000001088394c8f03e5157080000449e7b9aec34"
     assert sealed[22:38].hex() == "d1b1c98dd7689fb8ec11d242b123dc9b"
     assert len(sealed) == 1200
 
 
-def test_the_clients_initial_is_read_back() -> None:
-    """What a ClientHello says is read off the vector: its name and protocol."""
+def test_client_initial_is_decrypted_and_parsed() -> None:
+    """Server name and ALPN protocol are parsed from the RFC's encrypted Initial."""
     keys = InitialKeys(V1, DCID)
     sealed = encode_initial(keys.client, V1, DCID, b"", 2, CLIENT_CRYPTO.ljust(1162, b"\0"))
     number, payload = keys.client.open(sealed, packet.parse_long_packet(sealed))
-    heard = frames.parse_initial_payload(payload)
-    body = hello.client_hello_body(heard.crypto[0].data)
+    parsed = frames.parse_initial_payload(payload)
+    body = hello.client_hello_body(parsed.crypto[0].data)
     assert number == 2 and body is not None
     assert hello.parse_client_hello(body) == hello.ClientHello("example.com", ("alpn",))
 
 
-def test_the_servers_initial_of_the_rfc() -> None:
-    """A server's words are opened with its own keys (appendix A.3)."""
+def test_server_initial_opens_with_server_keys_only() -> None:
+    """The server's Initial opens with the server's keys and not with the client's (RFC 9001 appendix A.3)."""
     number, payload = InitialKeys(V1, DCID).server.open(SERVER_PACKET, packet.parse_long_packet(SERVER_PACKET))
-    heard = frames.parse_initial_payload(payload)
-    assert number == 1 and heard.largest_acked == 0 and len(heard.crypto[0].data) == 0x5A
+    parsed = frames.parse_initial_payload(payload)
+    assert number == 1 and parsed.largest_acked == 0 and len(parsed.crypto[0].data) == 0x5A
     with pytest.raises(MalformedError):
         InitialKeys(V1, DCID).client.open(SERVER_PACKET, packet.parse_long_packet(SERVER_PACKET))
 
 
-def test_the_retry_of_the_rfc() -> None:
-    """A client drops a Retry whose tag is wrong (appendix A.4)."""
+def test_retry_tag_matches_rfc_vector() -> None:
+    """A client drops a Retry whose integrity tag is wrong (RFC 9001 appendix A.4)."""
     assert retry_integrity_tag(V1, DCID, RETRY[:-16]) == RETRY[-16:]
 
 
-def test_the_chacha20_packet_of_the_rfc() -> None:
-    """A mask or nonce of the other suite gives other bytes (appendix A.5)."""
+def test_chacha20_packet_matches_rfc_vector() -> None:
+    """The mask or nonce of the AES suite gives other bytes (RFC 9001 appendix A.5)."""
     secret = bytes.fromhex("9ac312a7f877468ebe69422748ad00a15443f18203a07d6060f688f30f21632b")
     keys = DirectionKeys(secret, V1, Suite.CHACHA20)
     assert keys.key.hex() == "c6d98ff3441c3fe1b2182094f69caa2ed4b716b65488960a7a984979fb23e1c8"
@@ -77,68 +77,68 @@
     assert sealed.hex() == "4cfe4189655e5cd55c41f69080575d7999c25a5bfb"
 
 
-def test_the_keys_of_version_2() -> None:
-    """RFC 9369 appendix A.1: another salt, other labels."""
+def test_version_2_keys_and_type_bits() -> None:
+    """Version 2 has another salt, other labels and other packet type bits (RFC 9369 sections 3.2, 3.3 and A.1)."""
     assert InitialKeys(V2, DCID).client.key.hex() == "8b1a0bc121284290a29e0971b5cd045d"
-    first = {
-        kind: packet.type_bits(kind, V2)
-        for kind in (PacketType.INITIAL, PacketType.ZERO_RTT, PacketType.HANDSHAKE, PacketType.RETRY)
+    bits = {
+        packet_type: packet.type_bits(packet_type, V2)
+        for packet_type in (PacketType.INITIAL, PacketType.ZERO_RTT, PacketType.HANDSHAKE, PacketType.RETRY)
     }
-    assert first == {PacketType.INITIAL: 1, PacketType.ZERO_RTT: 2, PacketType.HANDSHAKE: 3, PacketType.RETRY: 0}
+    assert bits == {PacketType.INITIAL: 1, PacketType.ZERO_RTT: 2, PacketType.HANDSHAKE: 3, PacketType.RETRY: 0}
 
 
-def test_version_negotiation_turns_the_ids_round() -> None:
-    """A client takes it only with its own ids, and only if its version is not listed (RFC 9000 section 6.2)."""
+def test_version_negotiation_swaps_ids() -> None:
+    """A client accepts it only with its own ids, and only if its version is not listed (RFC 9000 section 6.2)."""
     answer = packet.encode_version_negotiation(b"theirs12", b"mine")
-    version, dcid, scid, at = packet.parse_invariants(answer)
+    version, dcid, scid, end = packet.parse_invariants(answer)
     assert (version, dcid, scid) == (0, b"mine", b"theirs12")
-    assert answer[at:] == V1.to_bytes(4, "big") + V2.to_bytes(4, "big")
+    assert answer[end:] == V1.to_bytes(4, "big") + V2.to_bytes(4, "big")
 
 
-def test_a_packet_for_another_connection_ends_the_datagram() -> None:
-    """What is coalesced must have one id (RFC 9000 section 12.2)."""
+def test_coalescing_stops_at_another_connection_id() -> None:
+    """Coalesced packets must have the same destination id (RFC 9000 section 12.2)."""
     keys = InitialKeys(V1, DCID)
-    one = encode_initial(keys.client, V1, DCID, b"a", 0, b"\1")
+    own = encode_initial(keys.client, V1, DCID, b"a", 0, b"\1")
     other = encode_initial(keys.client, V1, b"otherone", b"a", 0, b"\1")
-    assert [each.dcid for each in packet.parse_coalesced(one + one + other)] == [DCID, DCID]
+    assert [each.dcid for each in packet.parse_coalesced(own + own + other)] == [DCID, DCID]
 
 
 @given(st.integers(0, 2**62 - 1))
-def test_varints(value: int) -> None:
-    """Every value in its shortest form, and back."""
+def test_varint_round_trip(value: int) -> None:
+    """Every value up to 2**62 - 1 survives encoding and decoding; larger ones are rejected."""
     assert Reader(encode_varint(value)).varint() == value
     with pytest.raises(ValueError):
         encode_varint(2**62 + value)
 
 
 @given(st.binary(max_size=3000), st.randoms(use_true_random=False))
-def test_a_stream_in_any_pieces(stream: bytes, chance: random.Random) -> None:
-    """Pieces that are split, reordered, repeated and overlap come together to what was sent."""
-    put = hello.CryptoStream()
-    cuts = sorted({0, len(stream), *(chance.randint(0, len(stream)) for _ in range(12))})
-    pieces = [(a, min(len(stream), b + chance.randint(0, 40))) for a, b in zip(cuts, cuts[1:], strict=False)]
-    pieces += chance.sample(pieces, min(3, len(pieces)))
-    chance.shuffle(pieces)
+def test_stream_reassembly(stream: bytes, rng: random.Random) -> None:
+    """Frames that are split, reordered, repeated and overlapping give the original stream."""
+    reassembly = hello.CryptoStream()
+    cuts = sorted({0, len(stream), *(rng.randint(0, len(stream)) for _ in range(12))})
+    pieces = [(a, min(len(stream), b + rng.randint(0, 40))) for a, b in zip(cuts, cuts[1:], strict=False)]
+    pieces += rng.sample(pieces, min(3, len(pieces)))
+    rng.shuffle(pieces)
     for start, end in pieces:
-        put.add(frames.CryptoFrame(start, stream[start:end]))
-    assert put.contiguous_prefix() == stream
-    assert len(put.segments) <= 1
+        reassembly.add(frames.CryptoFrame(start, stream[start:end]))
+    assert reassembly.contiguous_prefix() == stream
+    assert len(reassembly.segments) <= 1
 
 
-def test_a_stream_is_bounded() -> None:
-    """A stranger's gaps and offsets must not fill the memory."""
-    put = hello.CryptoStream()
+def test_stream_size_and_segments_are_bounded() -> None:
+    """Unbounded offsets or gaps let a client exhaust the relay's memory."""
+    reassembly = hello.CryptoStream()
     with pytest.raises(MalformedError):
-        put.add(frames.CryptoFrame(hello.MAX_CLIENT_HELLO_BYTES, b"x"))
+        reassembly.add(frames.CryptoFrame(hello.MAX_CLIENT_HELLO_BYTES, b"x"))
     with pytest.raises(MalformedError):
         for number in range(hello.MAX_SEPARATE_SEGMENTS + 1):
-            put.add(frames.CryptoFrame(2 * number, b"x"))
+            reassembly.add(frames.CryptoFrame(2 * number, b"x"))
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_raise_anything_else(data: bytes) -> None:
-    """Readers of strangers' bytes say MalformedError, or read."""
-    for read in (
+def test_arbitrary_bytes_raise_only_malformed_error(data: bytes) -> None:
+    """Parsers of received bytes either succeed or raise MalformedError."""
+    for parse in (
         packet.parse_invariants,
         packet.parse_long_packet,
         frames.parse_initial_payload,
@@ -146,7 +146,7 @@
         hello.client_hello_body,
     ):
         try:
-            read(data)
+            parse(data)
         except MalformedError:
             continue
     packet.parse_coalesced(data)
