--- a/benchmarks/quic_path.py
+++ b/benchmarks/quic_path.py
@@ -298,7 +298,7 @@
         return used_us
 
     def set_up_line(self, port: int, number: int) -> tuple[socket.socket, socket.socket]:
-        """Set up one line connection, and run the loop once in 50 calls, which serves the relay's discovery requests."""
+        """Set up one line connection; run the loop once in 50 calls, which serves the relay's discovery requests."""
         if number % 50 == 0:
             self.loop.turn(0)
         return self.peers.set_up_line(port, self.connections_made)
@@ -313,8 +313,8 @@
                 count, cpu = self.peers.pump(target, made, ROUND_S)
                 rates[name].append(count / ROUND_S)
                 cpus[name].append(cpu / count * 1e6)
-        out = {f"{name}_datagrams_a_second": statistics.median(each) for name, each in rates.items()}
-        out |= {f"{name}_cpu_us_a_datagram": statistics.median(each) for name, each in cpus.items()}
+        out = {f"{name}_datagrams_a_second": statistics.median(samples) for name, samples in rates.items()}
+        out |= {f"{name}_cpu_us_a_datagram": statistics.median(samples) for name, samples in cpus.items()}
         pairs = zip(rates["relay"], rates["forwarder"], strict=True)
         out["ratio_to_forwarder"] = statistics.median(relay / forwarder for relay, forwarder in pairs)
         pairs = zip(cpus["forwarder"], cpus["relay"], strict=True)
--- a/scaledeal/lab/quic/checker.py
+++ b/scaledeal/lab/quic/checker.py
@@ -41,7 +41,7 @@
         """Record a datagram that `server` received at Unix time `received_at` (ns)."""
         for header, payload in _decrypted_initials(datagram, False):
             attempts = self.attempts.setdefault(header.destination_cid, [])
-            attempt = next((each for each in attempts if each.server == server), None)
+            attempt = next((known for known in attempts if known.server == server), None)
             if _first_frame_type(payload) == _CONNECTION_CLOSE:
                 if attempt is not None and not attempt.closed_at:
                     attempt.closed_at = received_at
@@ -73,7 +73,7 @@
         """Return a text for each violation: two final answers, over 6 attempts, or two attempts open at once."""
         violations = [f"{dcid.hex()}: two final answers" for dcid, answers in self.answers.items() if len(answers) > 1]
         for dcid, attempts in self.attempts.items():
-            in_order = sorted(attempts, key=lambda each: each.started_at)
+            in_order = sorted(attempts, key=lambda attempt: attempt.started_at)
             if len(in_order) > 6:
                 violations.append(f"{dcid.hex()}: {len(in_order)} attempts")
             for earlier, later in zip(in_order, in_order[1:], strict=False):
--- a/scaledeal/lab/quic/client.py
+++ b/scaledeal/lab/quic/client.py
@@ -96,7 +96,7 @@
         return self.termination is not None or self.reset
 
     def change_address(self, host: str | None = None) -> None:
-        """Continue from another socket, as a device does that changes networks."""
+        """Continue from another socket, like a device that changes networks."""
         self.loop.forget(self.sock)
         self.sock = udp_socket(host or self.host)
         self.loop.read(self.sock, self._read)
@@ -134,7 +134,7 @@
     def _is_reset(self, datagram: bytes) -> bool:
         """Return whether a datagram is a stateless reset, which aioquic does not detect (RFC 9000 section 10.3.1)."""
         ids = [self.connection._peer_cid, *self.connection._peer_cid_available]
-        reset_tokens = {each.stateless_reset_token for each in ids if each.stateless_reset_token}
+        reset_tokens = {cid.stateless_reset_token for cid in ids if cid.stateless_reset_token}
         return len(datagram) >= 21 and not datagram[0] & 0x80 and datagram[-16:] in reset_tokens
 
     def _flush(self) -> None:
--- a/scaledeal/lab/quic/tile_server.py
+++ b/scaledeal/lab/quic/tile_server.py
@@ -89,7 +89,7 @@
     @property
     def ids(self) -> list[bytes]:
         """Return the connection's own ids that are in use now."""
-        return [each.cid for each in self._host_cids]
+        return [host_cid.cid for host_cid in self._host_cids]
 
 
 class TileServer:
@@ -137,7 +137,7 @@
                 self._handle_datagram(datagram, source)
 
     def _handle_datagram(self, datagram: bytes, source: Source) -> None:
-        length = {each.number: each.config().length for each in self.ring.configs}.get(datagram[1] >> 5, 8)
+        length = {entry.number: entry.config().length for entry in self.ring.configs}.get(datagram[1] >> 5, 8)
         try:
             header = pull_quic_header(Buffer(data=datagram), host_cid_length=length)
         except ValueError:
@@ -154,8 +154,8 @@
         self._flush(connection)
 
     def _find_connection(self, cid: bytes, source: Source) -> RoutedConnection | None:
-        found = next((each for each in self.connections if cid in each.ids), None)
-        return found or self.by_odcid.get((source, cid))
+        connection = next((known for known in self.connections if cid in known.ids), None)
+        return connection or self.by_odcid.get((source, cid))
 
     def _accept(self, header: Any, source: Source) -> RoutedConnection | None:
         """Return a new connection for a client's Initial; None if the server's behaviour is not to serve it."""
--- a/scaledeal/quic/wire/protection.py
+++ b/scaledeal/quic/wire/protection.py
@@ -90,7 +90,7 @@
         self.key, self.iv = _expand(secret, key_label, suite.value), _expand(secret, iv_label, 12)
         self.header_key = _expand(secret, hp_label, suite.value)
         self.aead = AESGCM(self.key) if suite is Suite.AES_128 else ChaCha20Poly1305(self.key)
-        self.header_mask = _aes_mask if suite is Suite.AES_128 else _chacha_mask
+        self.compute_header_mask = _aes_mask if suite is Suite.AES_128 else _chacha_mask
 
     def _nonce(self, number: int) -> bytes:
         return (int.from_bytes(self.iv, "big") ^ number).to_bytes(12, "big")
@@ -104,7 +104,7 @@
         sample = datagram[offset + 4 : offset + 4 + HEADER_SAMPLE_BYTES]
         if packet.end - offset < 4 + HEADER_SAMPLE_BYTES:
             raise MalformedError("too short for a sample")
-        mask = self.header_mask(self.header_key, sample)
+        mask = self.compute_header_mask(self.header_key, sample)
         first = datagram[packet.start] ^ mask[0] & 0x0F
         length = (first & 3) + 1
         number_bytes = bytes(a ^ b for a, b in zip(datagram[offset : offset + length], mask[1:], strict=False))
@@ -119,7 +119,7 @@
         """Return a protected packet; `header` is plain and ends with the packet number (RFC 9001 section 5.4.1)."""
         length = (header[0] & 3) + 1
         sealed = self.aead.encrypt(self._nonce(number), payload, header)
-        mask = self.header_mask(self.header_key, sealed[4 - length : 4 - length + HEADER_SAMPLE_BYTES])
+        mask = self.compute_header_mask(self.header_key, sealed[4 - length : 4 - length + HEADER_SAMPLE_BYTES])
         first = header[0] ^ mask[0] & (0x0F if header[0] & LONG_HEADER_BIT else 0x1F)
         masked_number = bytes(a ^ b for a, b in zip(header[-length:], mask[1:], strict=False))
         return bytes((first,)) + header[1:-length] + masked_number + sealed
--- a/tests/test_quic_ids.py
+++ b/tests/test_quic_ids.py
@@ -103,7 +103,7 @@
         ring.retired(3)
     for _ in range(6):
         ring = ring.rotated(8, 8)
-    assert [each.state for each in ring.configs].count(ConfigState.ACTIVE) == 1
+    assert [entry.state for entry in ring.configs].count(ConfigState.ACTIVE) == 1
     with pytest.raises(KeyRingError, match="retire one"):
         ring.rotated(8, 8)
     with pytest.raises(KeyRingError, match="same id"):
@@ -133,7 +133,7 @@
         key_file.read(tmp_path)
     with pytest.raises(KeyRingError):
         key_file.read(tmp_path / "none")
-    assert [each.name for each in tmp_path.iterdir()] == ["keys"]
+    assert [file.name for file in tmp_path.iterdir()] == ["keys"]
 
 
 def test_resets_are_shorter_than_the_datagrams_they_answer() -> None:
--- a/tests/test_quic_wire.py
+++ b/tests/test_quic_wire.py
@@ -100,7 +100,7 @@
     keys = InitialKeys(V1, DCID)
     own = encode_initial(keys.client, V1, DCID, b"a", 0, b"\1")
     other = encode_initial(keys.client, V1, b"otherone", b"a", 0, b"\1")
-    assert [each.dcid for each in packet.parse_coalesced(own + own + other)] == [DCID, DCID]
+    assert [parsed.dcid for parsed in packet.parse_coalesced(own + own + other)] == [DCID, DCID]
 
 
 @given(st.integers(0, 2**62 - 1))
