--- a/scaledeal/lab/quic/checker.py
+++ b/scaledeal/lab/quic/checker.py
@@ -18,12 +18,12 @@
 
 
 class Attempt:
-    """One flow's attempt at one server; times are the kernel's Unix time in ns."""
+    """One flow's attempt at one server; times are the Unix times of receipt by the kernel."""
 
-    def __init__(self, server: str, started_at: int) -> None:
+    def __init__(self, server: str, started_at_ns: int) -> None:
         self.server = server
-        self.started_at = started_at
-        self.closed_at = 0  # when the relay closed it; 0 while it is open
+        self.started_at_ns = started_at_ns
+        self.closed_at_ns = 0  # when the relay closed it; 0 while it is open
 
 
 class TrafficRecord:
@@ -32,22 +32,22 @@
     def __init__(self) -> None:
         self.attempts: dict[bytes, list[Attempt]] = {}
         self.answers: dict[bytes, set[str]] = {}
-        self.last_attempt_at: dict[str, int] = {}  # by server: Unix time in ns
+        self.last_attempt_at_ns: dict[str, int] = {}  # by server; Unix time
         self._retry_scids: dict[bytes, bytes] = {}  # after a Retry, a flow's Initial keys derive from its source id
 
     # Called by the peers
 
-    def add_server_datagram(self, server: str, datagram: bytes, received_at: int) -> None:
-        """Record a datagram that `server` received at Unix time `received_at` (ns)."""
+    def add_server_datagram(self, server: str, datagram: bytes, received_at_ns: int) -> None:
+        """Record a datagram that `server` received at kernel time `received_at_ns` (Unix time)."""
         for header, payload in _decrypted_initials(datagram, False):
             attempts = self.attempts.setdefault(header.destination_cid, [])
             attempt = next((known for known in attempts if known.server == server), None)
             if _first_frame_type(payload) == _CONNECTION_CLOSE:
-                if attempt is not None and not attempt.closed_at:
-                    attempt.closed_at = received_at
+                if attempt is not None and not attempt.closed_at_ns:
+                    attempt.closed_at_ns = received_at_ns
             elif attempt is None:
-                attempts.append(Attempt(server, received_at))
-                self.last_attempt_at[server] = received_at
+                attempts.append(Attempt(server, received_at_ns))
+                self.last_attempt_at_ns[server] = received_at_ns
 
     def add_client_datagram(self, dcid: bytes, datagram: bytes) -> None:
         """Record the answer in a datagram that a client received, if it holds one; `dcid` is the flow's first id."""
@@ -73,11 +73,11 @@
         """Return a text for each violation: two final answers, over 6 attempts, or two attempts open at once."""
         violations = [f"{dcid.hex()}: two final answers" for dcid, answers in self.answers.items() if len(answers) > 1]
         for dcid, attempts in self.attempts.items():
-            in_order = sorted(attempts, key=lambda attempt: attempt.started_at)
+            in_order = sorted(attempts, key=lambda attempt: attempt.started_at_ns)
             if len(in_order) > 6:
                 violations.append(f"{dcid.hex()}: {len(in_order)} attempts")
             for earlier, later in zip(in_order, in_order[1:], strict=False):
-                if not earlier.closed_at or earlier.closed_at > later.started_at:
+                if not earlier.closed_at_ns or earlier.closed_at_ns > later.started_at_ns:
                     violations.append(f"{dcid.hex()}: attempts open at {earlier.server} and {later.server} at once")
         return violations
 
--- a/scaledeal/lab/quic/tile_server.py
+++ b/scaledeal/lab/quic/tile_server.py
@@ -131,8 +131,8 @@
             self._flush(connection)
 
     def _read(self) -> None:
-        for datagram, source, received_at in receive_pending(self.sock):
-            self.record.add_server_datagram(self.name, datagram, received_at)
+        for datagram, source, received_at_ns in receive_pending(self.sock):
+            self.record.add_server_datagram(self.name, datagram, received_at_ns)
             if self.behaviour is not Behaviour.HUNG:
                 self._handle_datagram(datagram, source)
 
--- a/scaledeal/quic/ids/tokens.py
+++ b/scaledeal/quic/ids/tokens.py
@@ -43,7 +43,7 @@
 class RetryToken(msgspec.Struct, frozen=True, array_like=True):
     """The content of a Retry token, read by relays and by tile servers, which do not see the client's address."""
 
-    expires: int  # Unix time in ns, the only clock that relays share
+    expires_unix_ns: int  # Unix time, as relays share no other clock
     original_dcid: bytes
     retry_scid: bytes
     source: Source  # the client that the token was issued to
@@ -55,17 +55,16 @@
     return nonce + AESGCM(key).encrypt(nonce, msgspec.msgpack.encode(token), b"scaledeal retry")
 
 
-def unseal(key: bytes, sealed: bytes, source: Source, unix_now: int) -> RetryToken | None:
-    """Return a Retry token's content; None if it was issued to another source, altered or expired.
-
-    `unix_now` is Unix time in ns.
-    """
+def unseal(key: bytes, sealed: bytes, source: Source, unix_now_ns: int) -> RetryToken | None:
+    """Return a Retry token's content; None if it is altered, another source's, expired or valid for too long."""
     token = decrypt(key, sealed)
     is_from_source = token is not None and token.source == source
     # The upper bound rejects a token of a relay whose clock was ahead, which would stay valid for too long.
     return (
         token
-        if is_from_source and token is not None and unix_now <= token.expires <= unix_now + 2 * RETRY_TOKEN_LIFETIME_NS
+        if is_from_source
+        and token is not None
+        and unix_now_ns <= token.expires_unix_ns <= unix_now_ns + 2 * RETRY_TOKEN_LIFETIME_NS
         else None
     )
 
--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -31,8 +31,8 @@
         (overlapping, (("a", CLIENT_HELLO, 1), ("b", CLIENT_HELLO, 3))),
         (late_close, (("a", CLIENT_HELLO, 1), ("b", CLIENT_HELLO, 3), ("a", CLIENT_CLOSE, 4))),
     ):
-        for server, datagram, received_at in events:
-            record.add_server_datagram(server, datagram, received_at)
+        for server, datagram, received_at_ns in events:
+            record.add_server_datagram(server, datagram, received_at_ns)
     for number in range(7):
         too_many.add_server_datagram(str(number), CLIENT_HELLO, 2 * number + 1)
         too_many.add_server_datagram(str(number), CLIENT_CLOSE, 2 * number + 2)
--- a/tests/test_quic_flows.py
+++ b/tests/test_quic_flows.py
@@ -194,14 +194,14 @@
     homes = [client.request() for client in clients]
     drained = homes[0]
     world.discovery.put(drained, world.server(drained).address, "leaving")
-    before = world.record.last_attempt_at[drained]
+    before = world.record.last_attempt_at_ns[drained]
     later = [world.client(relay, host=f"127.0.1.{number}") for number in range(2, 8)]
     world.turn_until(lambda: relay.figure("relay_out_of_rotation") == 1, "the drain heard")
     later += [world.client(relay, host=f"127.0.2.{number}") for number in range(2, 8)]
     for client in later:
         client.wait_connected()
     assert {client.request() for client in later[6:]} == {world.others(drained)[0].name}
-    assert world.record.last_attempt_at[drained] - before < 1_000_000_000
+    assert world.record.last_attempt_at_ns[drained] - before < 1_000_000_000
     # The module moves who still stands there after a second: a flow stays all the same.
     world.turn_until(
         lambda: relay.figure("relay_open_requests") <= len(clients + later) - homes.count(drained), "the module's moves"
