--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -1,57 +1,62 @@
-"""The checker of QUIC rehearsals has to speak where a rule is broken: else its silence says nothing."""
+"""The QUIC traffic checker reports each kind of violation; a checker that misses one makes the flow tests void."""
 
 from __future__ import annotations
 
 from test_quic_router import HELLO
 
-from scaledeal.lab.quic.checker import Record
+from scaledeal.lab.quic.checker import TrafficRecord
 from scaledeal.quic.wire import frames
 from scaledeal.quic.wire.packet import V1
-from scaledeal.quic.wire.protection import InitialKeys, initial
+from scaledeal.quic.wire.protection import InitialKeys, encode_initial
 
 DCID = b"firstone"
 
 
 def from_client(payload: bytes) -> bytes:
-    return initial(InitialKeys(V1, DCID).client, V1, DCID, b"client", 0, payload)
+    return encode_initial(InitialKeys(V1, DCID).client, V1, DCID, b"client", 0, payload)
 
 
 def from_server(payload: bytes, scid: bytes) -> bytes:
-    return initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
+    return encode_initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
 
 
-ASKS, CLOSES = from_client(frames.crypto(0, HELLO)), from_client(frames.close(0))
+CLIENT_HELLO, CLIENT_CLOSE = from_client(frames.encode_crypto(0, HELLO)), from_client(frames.encode_connection_close(0))
 
 
-def test_attempts() -> None:
-    """Two at once, seven in all, and a close that comes after the next has begun."""
-    sound, at_once, late, many = Record(), Record(), Record(), Record()
+def test_attempt_violations() -> None:
+    """Two open attempts, seven attempts, and a close after the next attempt's start are violations."""
+    valid, overlapping, late_close, too_many = TrafficRecord(), TrafficRecord(), TrafficRecord(), TrafficRecord()
     for record, events in (
-        (sound, (("a", ASKS, 1), ("a", CLOSES, 2), ("b", ASKS, 3), ("b", ASKS, 4))),
-        (at_once, (("a", ASKS, 1), ("b", ASKS, 3))),
-        (late, (("a", ASKS, 1), ("b", ASKS, 3), ("a", CLOSES, 4))),
+        (valid, (("a", CLIENT_HELLO, 1), ("a", CLIENT_CLOSE, 2), ("b", CLIENT_HELLO, 3), ("b", CLIENT_HELLO, 4))),
+        (overlapping, (("a", CLIENT_HELLO, 1), ("b", CLIENT_HELLO, 3))),
+        (late_close, (("a", CLIENT_HELLO, 1), ("b", CLIENT_HELLO, 3), ("a", CLIENT_CLOSE, 4))),
     ):
-        for server, datagram, at in events:
-            record.at_server(server, datagram, at)
+        for server, datagram, received_at_ns in events:
+            record.add_server_datagram(server, datagram, received_at_ns)
     for number in range(7):
-        many.at_server(str(number), ASKS, 2 * number + 1)
-        many.at_server(str(number), CLOSES, 2 * number + 2)
-    assert sound.violations() == []
-    assert [record.violations()[0].split(": ")[1] for record in (at_once, late, many)] == [
-        "out at a and b at once",
-        "out at a and b at once",
+        too_many.add_server_datagram(str(number), CLIENT_HELLO, 2 * number + 1)
+        too_many.add_server_datagram(str(number), CLIENT_CLOSE, 2 * number + 2)
+    assert valid.violations() == []
+    assert [record.violations()[0].split(": ")[1] for record in (overlapping, late_close, too_many)] == [
+        "attempts open at a and b at once",
+        "attempts open at a and b at once",
         "7 attempts",
     ]
 
 
-def test_answers() -> None:
-    """None, one that is repeated, one of two servers, and a refusal behind a service."""
-    hello = frames.crypto(0, b"\2")
-    served, other = from_server(hello, b"server-a"), from_server(hello, b"server-b")
-    closed = from_server(frames.close(2), b"server-a")
-    for said, broken in (((served, served), 0), ((closed, closed), 0), ((served, other), 1), ((served, closed), 1)):
-        record = Record()
+def test_answer_violations() -> None:
+    """Answers of two servers, or a close after an answer, are violations, repeats are not; a missing answer shows."""
+    crypto = frames.encode_crypto(0, b"\2")
+    served, other = from_server(crypto, b"server-a"), from_server(crypto, b"server-b")
+    closed = from_server(frames.encode_connection_close(2), b"server-a")
+    for datagrams, violations in (
+        ((served, served), 0),
+        ((closed, closed), 0),
+        ((served, other), 1),
+        ((served, closed), 1),
+    ):
+        record = TrafficRecord()
         assert record.unanswered([DCID])
-        for datagram in said:
-            record.at_client(DCID, datagram)
-        assert len(record.violations()) == broken and not record.unanswered([DCID])
+        for datagram in datagrams:
+            record.add_client_datagram(DCID, datagram)
+        assert len(record.violations()) == violations and not record.unanswered([DCID])
