--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -26,7 +26,7 @@
 from scaledeal.quic.ids.keys import new_ring
 from scaledeal.resume.core import register as reg
 from scaledeal.resume.core.register import Progress
-from scaledeal.resume.core.token import Sealer, Token, commit
+from scaledeal.resume.core.token import Sealer, Token, commitment_to
 from scaledeal.resume.stores.ledger import Ledger
 
 LATER = 10**19 // 2
@@ -174,7 +174,7 @@
 def tokens() -> dict[str, float]:
     """Return CPU (us) to seal and to open a token."""
     sealer = Sealer({0: bytes(32)}, 0)
-    token = Token("s" * 16, 3, "overlay", "sheet", 0, "t", "b", 5, 6, 0, LATER, commit(bytes(32)))
+    token = Token("s" * 16, 3, "overlay", "sheet", 0, "t", "b", 5, 6, 0, LATER, commitment_to(bytes(32)))
     began = time.process_time()
     for _ in range(5000):
         text = sealer.seal(token)
--- a/scaledeal/cli/keys.py
+++ b/scaledeal/cli/keys.py
@@ -84,11 +84,11 @@
 ) -> None:
     """Tell what a session's token says, but for what binds it to its holder."""
     from scaledeal.quic.ids import key_file
-    from scaledeal.resume.core.token import Refused, Sealer
+    from scaledeal.resume.core.token import Sealer, TokenRefusal
 
     ring = _taken(lambda: key_file.read(keys))
     found = Sealer(_taken(ring.token_keys), ring.active.number).open(token)
-    if isinstance(found, Refused):
+    if isinstance(found, TokenRefusal):
         typer.echo(f"scaledeal keys: this token is refused: {found.value}", err=True)
         raise typer.Exit(2)
     typer.echo(
--- a/scaledeal/lab/line_peers.py
+++ b/scaledeal/lab/line_peers.py
@@ -12,10 +12,8 @@
 from enum import Enum
 
 from scaledeal.lab.loop import Loop
-from scaledeal.resume.core.lines import Inbox, Numbered, Outbox, Take
-from scaledeal.resume.core.lines import read as read_numbered
-from scaledeal.resume.core.lines import write as write_numbered
-from scaledeal.resume.core.token import commit, encoded
+from scaledeal.resume.core.lines import Inbox, LineVerdict, NumberedLine, Outbox, format_line, parse_line
+from scaledeal.resume.core.token import commitment_to, encode_base64url
 from scaledeal.resume.wire.words import told_state
 
 
@@ -92,7 +90,7 @@
             return
         elif not self.session:
             self.send(b"echo " + line)
-        elif (read := read_numbered(line)) is not None and read.number:
+        elif (read := parse_line(line)) is not None and read.number:
             self._line(read)
 
     def _open(self, line: bytes) -> None:
@@ -117,19 +115,19 @@
             self.send(b"MOVE")
             self.close()
 
-    def _line(self, read: Numbered) -> None:
-        take = self.inbox.judge(read.number)
-        if take is Take.GAP:
+    def _line(self, read: NumberedLine) -> None:
+        take = self.inbox.classify(read.number)
+        if take is LineVerdict.GAP:
             self.close()
             return
-        if take is Take.REPEAT:
-            self.send(b"+%d" % self.inbox.held)
+        if take is LineVerdict.DUPLICATE:
+            self.send(b"+%d" % self.inbox.last_applied)
             return
-        self.inbox.applied(read.number)
+        self.inbox.mark_applied(read.number)
         self.state = [*self.state[-63:], read.text.decode()]  # bounded, as a state must be
         self.server.applied.append((self.session, read.number))
         self.sent += 1
-        echo = write_numbered(Numbered(self.sent, self.inbox.held, b"echo " + read.text))
+        echo = format_line(NumberedLine(self.sent, self.inbox.last_applied, b"echo " + read.text))
         self.send(b"KEEP " + told_state("|".join(self.state).encode()).encode() + self._padding(), echo)
         if read.text == b"done":
             self.send(b"BYE")
@@ -184,7 +182,7 @@
         self.token = ""
         self.secret = b""  # opens the token
         self.last = b""  # the last one committed to; it opens what a resume that was never answered has been granted
-        self.box, self.inbox = Outbox(), Inbox()
+        self.outbox, self.inbox = Outbox(), Inbox()
         self.lines: list[bytes] = []  # the server's, as their text
         self.byes = 0
         self.ups = 0
@@ -198,11 +196,16 @@
         fresh, before = secrets.token_bytes(32), self.last
         names = f"c={self.request_class},d=1200,g=sheet"
         if self.offers and not token:
-            names += f",rs=1,rc={encoded(commit(fresh))}"
+            names += f",rs=1,rc={encode_base64url(commitment_to(fresh))}"
             self.secret = fresh
         elif token:
-            opened = encoded(self.secret) + (f".{encoded(before)}" if before not in (b"", self.secret) else "")
-            names += f",again=1,rs={token},op={opened},rc={encoded(commit(fresh))},seen={self.inbox.held}"
+            opened = encode_base64url(self.secret) + (
+                f".{encode_base64url(before)}" if before not in (b"", self.secret) else ""
+            )
+            names += (
+                f",again=1,rs={token},op={opened},rc={encode_base64url(commitment_to(fresh))}"
+                f",seen={self.inbox.last_applied}"
+            )
         self.last = fresh
         self.link = _ClientLink(self, f"OPEN {secrets.token_hex(8)} key {names}".encode())
         return self.link
@@ -214,19 +217,19 @@
 
     def say(self, text: str) -> None:
         """Say a line, once the connection is up, and keep it until it is acknowledged."""
-        number = self.box.put(text.encode())
+        number = self.outbox.append(text.encode())
         if self.link is not None and self.link.up:
-            self.link.send(write_numbered(Numbered(number, self.inbox.held, text.encode())))
+            self.link.send(format_line(NumberedLine(number, self.inbox.last_applied, text.encode())))
 
     def took(self, line: bytes) -> None:
         """Take a numbered line of the server's."""
-        read = read_numbered(line)
-        assert read is not None and self.box.held(read.held), line
-        if read.number and self.inbox.judge(read.number) is Take.APPLY:
-            self.inbox.applied(read.number)
+        read = parse_line(line)
+        assert read is not None and self.outbox.acknowledge(read.acknowledged), line
+        if read.number and self.inbox.classify(read.number) is LineVerdict.APPLY:
+            self.inbox.mark_applied(read.number)
             self.lines.append(read.text)
         elif read.number:
-            assert self.inbox.judge(read.number) is not Take.GAP, f"a line is missing before {line!r}"
+            assert self.inbox.classify(read.number) is not LineVerdict.GAP, f"a line is missing before {line!r}"
 
     def heard_up(self, link: _ClientLink, line: bytes) -> None:
         """Take an UP, and say again what is not applied yet."""
@@ -236,10 +239,10 @@
         if "rs" in names:
             self.renew(names["rs"])
             applied = int(names["at"])
-            assert self.box.held(applied)
-            again = self.box.after(applied)
+            assert self.outbox.acknowledge(applied)
+            again = self.outbox.lines_after(applied)
             assert again is not None, "lines that are neither applied nor kept"
-            link.send(*(write_numbered(Numbered(number, self.inbox.held, text)) for number, text in again))
+            link.send(*(format_line(NumberedLine(number, self.inbox.last_applied, text)) for number, text in again))
 
     def renew(self, token: str) -> None:
         """Take a new token: what was last committed to opens it."""
--- a/scaledeal/resume/__init__.py
+++ b/scaledeal/resume/__init__.py
@@ -1,7 +1,7 @@
-"""Resumable sessions: a moved connection goes on from where it was, at another server.
+"""Resumable sessions: a client whose connection is moved continues its session at another server.
 
-In the order of reading: ``core`` (the register and its transitions, numbering, tokens; no I/O, no clock) and ``stores``
-(memory and the ledger on disk, which keep registers and choose nothing). See docs/resume.md.
+Read in this order: ``core`` (the register and its transitions, line numbering, tokens; no I/O and no clock), then
+``stores`` (memory and the ledger on disk, which keep registers and make no decisions). See docs/resume.md.
 
-Promised: at most one holder an epoch; one final answer; a line that is acknowledged is applied exactly once.
+Guarantees: at most one holder per epoch; one final answer; an acknowledged line is applied exactly once.
 """
--- a/scaledeal/resume/core/__init__.py
+++ b/scaledeal/resume/core/__init__.py
@@ -1,1 +1,1 @@
-"""The choices of resumable sessions, as tables that tests and the model checker walk."""
+"""The decisions of resumable sessions, as pure functions that tests and the model checker call."""
--- a/scaledeal/resume/core/lines.py
+++ b/scaledeal/resume/core/lines.py
@@ -1,6 +1,6 @@
-"""Numbered lines: what is kept until it is acknowledged, and what is taken once. Pure.
+"""Numbered lines: retransmission until acknowledgement, and suppression of duplicates. Pure.
 
-Both ends of a session have one ``Outbox`` and one ``Inbox``. Numbers begin at 1 and have no gaps.
+Each end of a session has one ``Outbox`` and one ``Inbox``. Numbers begin at 1 and have no gaps.
 """
 
 from __future__ import annotations
@@ -10,98 +10,98 @@
 
 import msgspec
 
-MOST_LINES = 64
-MOST_BYTES = 32_768
+MAX_OUTBOX_LINES = 64
+MAX_OUTBOX_BYTES = 32_768
 
 
-class Numbered(msgspec.Struct, frozen=True):
-    """A line on the wire: its number (0 for a mere acknowledgement), what its sender holds, and the text."""
+class NumberedLine(msgspec.Struct, frozen=True):
+    """A line on the wire: its number (0 for a bare acknowledgement), the last number its sender holds, and the text."""
 
     number: int
-    held: int
+    acknowledged: int
     text: bytes = b""
 
 
-def write(line: Numbered) -> bytes:
-    """Return a line as it stands on the wire."""
-    return b"#%d +%d %s" % (line.number, line.held, line.text) if line.number else b"+%d" % line.held
+def format_line(line: NumberedLine) -> bytes:
+    """Return a line as it is written on the wire, without its line ending."""
+    return b"#%d +%d %s" % (line.number, line.acknowledged, line.text) if line.number else b"+%d" % line.acknowledged
 
 
-def read(raw: bytes) -> Numbered | None:
-    """Read a numbered line; None where it is none."""
+def parse_line(raw: bytes) -> NumberedLine | None:
+    """Parse a numbered line; return None if ``raw`` is not one."""
     if raw[:1] == b"+":
-        return Numbered(0, int(raw[1:])) if _count(raw[1:]) else None
+        return NumberedLine(0, int(raw[1:])) if _is_number(raw[1:]) else None
     if raw[:1] != b"#":
         return None
     number, _, rest = raw[1:].partition(b" ")
-    held, _, text = rest.partition(b" ")
-    if not _count(number) or held[:1] != b"+" or not _count(held[1:]) or int(number) == 0:
+    acknowledged, _, text = rest.partition(b" ")
+    if not _is_number(number) or acknowledged[:1] != b"+" or not _is_number(acknowledged[1:]) or int(number) == 0:
         return None
-    return Numbered(int(number), int(held[1:]), text)
+    return NumberedLine(int(number), int(acknowledged[1:]), text)
 
 
-def _count(raw: bytes) -> bool:
+def _is_number(raw: bytes) -> bool:
     return 0 < len(raw) <= 15 and raw.isdigit()
 
 
 class Outbox:
-    """Lines of ours that the other end has not said it holds."""
+    """Sent lines that the other end has not acknowledged yet."""
 
-    def __init__(self, sent: int = 0, lines: tuple[tuple[int, bytes], ...] = ()) -> None:
-        self.sent = sent
+    def __init__(self, last_sent: int = 0, lines: tuple[tuple[int, bytes], ...] = ()) -> None:
+        self.last_sent = last_sent
         self.lines: deque[tuple[int, bytes]] = deque(lines)
-        self.bytes = sum(len(text) for _, text in lines)
-
-    def full(self) -> bool:
-        """Tell whether nothing more may be sent before the other end is heard."""
-        return len(self.lines) >= MOST_LINES or self.bytes >= MOST_BYTES
-
-    def put(self, text: bytes) -> int:
-        """Keep a line until it is acknowledged; return its number. Raise OverflowError where it is full."""
-        if self.full():
-            raise OverflowError("the other end has not acknowledged enough")
-        self.sent += 1
-        self.lines.append((self.sent, text))
-        self.bytes += len(text)
-        return self.sent
-
-    def held(self, number: int) -> bool:
-        """Hear that the other end holds all up to this number; False where we never sent that."""
-        if number > self.sent:
+        self.size_bytes = sum(len(text) for _, text in lines)
+
+    def is_full(self) -> bool:
+        """Return whether the other end must acknowledge lines before another may be sent."""
+        return len(self.lines) >= MAX_OUTBOX_LINES or self.size_bytes >= MAX_OUTBOX_BYTES
+
+    def append(self, text: bytes) -> int:
+        """Keep a line until it is acknowledged and return its number; raise OverflowError if the outbox is full."""
+        if self.is_full():
+            raise OverflowError("outbox is full: the other end has not acknowledged enough lines")
+        self.last_sent += 1
+        self.lines.append((self.last_sent, text))
+        self.size_bytes += len(text)
+        return self.last_sent
+
+    def acknowledge(self, number: int) -> bool:
+        """Drop all lines up to ``number``, which the other end holds; return False if that was never sent."""
+        if number > self.last_sent:
             return False
         while self.lines and self.lines[0][0] <= number:
-            self.bytes -= len(self.lines.popleft()[1])
+            self.size_bytes -= len(self.lines.popleft()[1])
         return True
 
-    def after(self, number: int) -> list[tuple[int, bytes]] | None:
-        """Return what is to be sent again to someone who holds all up to this number; None where it is gone."""
-        first = self.sent - len(self.lines)  # the last that has been acknowledged
-        if not first <= number <= self.sent:
+    def lines_after(self, number: int) -> list[tuple[int, bytes]] | None:
+        """Return the lines to send again to a peer that holds all up to ``number``; None if they are no longer kept."""
+        last_acknowledged = self.last_sent - len(self.lines)
+        if not last_acknowledged <= number <= self.last_sent:
             return None
         return [line for line in self.lines if line[0] > number]
 
 
-class Take(Enum):
-    """What to do with a line that has come."""
+class LineVerdict(Enum):
+    """What to do with a received line."""
 
     APPLY = 1
-    REPEAT = 2  # held already: acknowledge it again
-    GAP = 3  # one before it is missing: end the connection, the other end sends again
+    DUPLICATE = 2  # held already: acknowledge it again
+    GAP = 3  # an earlier line is missing: end the connection, and the other end sends again on the next
 
 
 class Inbox:
-    """Which of the other end's lines are held."""
+    """Tracks which of the other end's lines have been applied."""
 
-    def __init__(self, held: int = 0) -> None:
-        self.held = held
+    def __init__(self, last_applied: int = 0) -> None:
+        self.last_applied = last_applied
 
-    def judge(self, number: int) -> Take:
-        """Judge a line; one to be applied counts as held only once ``applied`` says so."""
-        if number <= self.held:
-            return Take.REPEAT
-        return Take.APPLY if number == self.held + 1 else Take.GAP
+    def classify(self, number: int) -> LineVerdict:
+        """Return what to do with a line; a line to apply counts only once ``mark_applied`` is called for it."""
+        if number <= self.last_applied:
+            return LineVerdict.DUPLICATE
+        return LineVerdict.APPLY if number == self.last_applied + 1 else LineVerdict.GAP
 
-    def applied(self, number: int) -> None:
-        """Hear that a line is applied, and recorded."""
-        assert number == self.held + 1
-        self.held = number
+    def mark_applied(self, number: int) -> None:
+        """Note that a line has been applied and recorded; it must be the next one."""
+        assert number == self.last_applied + 1
+        self.last_applied = number
--- a/scaledeal/resume/stores/ledger.py
+++ b/scaledeal/resume/stores/ledger.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from scaledeal.resume.core.register import Outcome, Register
+from scaledeal.resume.core.register import Register, TransitionResult
 from scaledeal.resume.stores.owner import FullError, OwnerError, Step, Steps
 
 SCHEMA = 1
@@ -122,15 +122,15 @@
 
     # Transitions
 
-    def apply(self, session: str, step: Step, new: bool = False) -> Outcome:
+    def apply(self, session: str, step: Step, new: bool = False) -> TransitionResult:
         """Apply one transition, durably."""
         return self.batch([(session, step, new)])[0]
 
-    def batch(self, steps: list[tuple[str, Step, bool]]) -> list[Outcome]:
+    def batch(self, steps: list[tuple[str, Step, bool]]) -> list[TransitionResult]:
         """Apply several transitions with one commit: all are durable once this returns, or none is told."""
         return self._transaction(lambda: [self._one(*each) for each in steps])
 
-    def _transaction(self, work: Callable[[], list[Outcome]]) -> list[Outcome]:
+    def _transaction(self, work: Callable[[], list[TransitionResult]]) -> list[TransitionResult]:
         try:
             self._base.execute("BEGIN IMMEDIATE")
         except sqlite3.Error as error:
@@ -156,7 +156,7 @@
             self._tell(grants)
         return outcomes
 
-    def _one(self, session: str, step: Step, new: bool) -> Outcome:
+    def _one(self, session: str, step: Step, new: bool) -> TransitionResult:
         before = self.get(session)
         after = step(before)
         if not isinstance(after, Register):
@@ -213,7 +213,7 @@
         """Forget the sessions whose time is up."""
         before = self._rows
 
-        def work() -> list[Outcome]:
+        def work() -> list[TransitionResult]:
             self._delete("expires <= ?", (now,))
             return []
 
--- a/scaledeal/resume/stores/owner.py
+++ b/scaledeal/resume/stores/owner.py
@@ -7,9 +7,9 @@
 from typing import Protocol
 
 from scaledeal.resume.core import register as reg
-from scaledeal.resume.core.register import Credential, Outcome, Progress, Register, Why
+from scaledeal.resume.core.register import Credential, Progress, Register, TransitionRefusal, TransitionResult
 
-Step = Callable[[Register | None], Outcome]
+Step = Callable[[Register | None], TransitionResult]
 
 
 class OwnerError(Exception):
@@ -25,16 +25,16 @@
 
     name: str
 
-    def begin(self, session: str, holder: str, expires: int, commitment: bytes = b"") -> Outcome:
+    def begin(self, session: str, holder: str, expires: int, commitment: bytes = b"") -> TransitionResult:
         """Begin a session; raise FullError where there is no room."""
 
-    def claim(self, session: str, shown: Credential, holder: str, now: int, expires: int) -> Outcome:
+    def claim(self, session: str, shown: Credential, holder: str, now: int, expires: int) -> TransitionResult:
         """Hand a session to a new holder."""
 
-    def record(self, session: str, epoch: int, progress: Progress, expires: int) -> Outcome:
+    def record(self, session: str, epoch: int, progress: Progress, expires: int) -> TransitionResult:
         """Take what the holder has done."""
 
-    def answer(self, session: str, epoch: int) -> Outcome:
+    def answer(self, session: str, epoch: int) -> TransitionResult:
         """Give the final answer."""
 
     def get(self, session: str) -> Register | None:
@@ -50,23 +50,23 @@
 class Steps:
     """The four transitions, for a store that can apply one."""
 
-    def apply(self, session: str, step: Step, new: bool = False) -> Outcome:
+    def apply(self, session: str, step: Step, new: bool = False) -> TransitionResult:
         """Apply a transition to a session's register; ``new`` asks for room."""
         raise NotImplementedError
 
-    def begin(self, session: str, holder: str, expires: int, commitment: bytes = b"") -> Outcome:
+    def begin(self, session: str, holder: str, expires: int, commitment: bytes = b"") -> TransitionResult:
         """Begin a session."""
         return self.apply(session, lambda old: reg.begin(old, session, holder, expires, commitment), True)
 
-    def claim(self, session: str, shown: Credential, holder: str, now: int, expires: int) -> Outcome:
+    def claim(self, session: str, shown: Credential, holder: str, now: int, expires: int) -> TransitionResult:
         """Hand a session to a new holder."""
         return self.apply(session, lambda old: reg.claim(old, shown, holder, now, expires))
 
-    def record(self, session: str, epoch: int, progress: Progress, expires: int) -> Outcome:
+    def record(self, session: str, epoch: int, progress: Progress, expires: int) -> TransitionResult:
         """Take what the holder has done."""
         return self.apply(session, lambda old: reg.record(old, epoch, progress, expires))
 
-    def answer(self, session: str, epoch: int) -> Outcome:
+    def answer(self, session: str, epoch: int) -> TransitionResult:
         """Give the final answer."""
         return self.apply(session, lambda old: reg.answer(old, epoch))
 
@@ -79,7 +79,7 @@
         self.most = most
         self._kept: OrderedDict[str, Register] = OrderedDict()
 
-    def apply(self, session: str, step: Step, new: bool = False) -> Outcome:
+    def apply(self, session: str, step: Step, new: bool = False) -> TransitionResult:
         """Apply a transition."""
         before = self._kept.get(session)
         if new and before is None and len(self._kept) >= self.most and not self._give_way():
@@ -114,4 +114,4 @@
         return iter(list(self._kept.values()))
 
 
-__all__ = ["FullError", "Memory", "Outcome", "Owner", "OwnerError", "Step", "Steps", "Why"]
+__all__ = ["FullError", "Memory", "TransitionResult", "Owner", "OwnerError", "Step", "Steps", "TransitionRefusal"]
--- a/scaledeal/resume/wire/desk.py
+++ b/scaledeal/resume/wire/desk.py
@@ -10,11 +10,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from scaledeal.resume.core.lines import Numbered, Outbox
-from scaledeal.resume.core.lines import read as read_numbered
-from scaledeal.resume.core.lines import write as write_numbered
-from scaledeal.resume.core.register import MOST_STATE, Credential, Outcome, Progress, Register
-from scaledeal.resume.core.token import Presented, Refused, Sealer, Token, commit, judge
+from scaledeal.resume.core.lines import NumberedLine, Outbox, format_line, parse_line
+from scaledeal.resume.core.register import MAX_STATE_BYTES, Credential, Progress, Register, TransitionResult
+from scaledeal.resume.core.token import Sealer, Token, TokenPresentation, TokenRefusal, check_token, commitment_to
 from scaledeal.resume.stores.owner import FullError, Owner, OwnerError
 from scaledeal.resume.wire import words
 from scaledeal.resume.wire.words import Offer
@@ -72,22 +70,24 @@
 
     def _resume(self, names: Names, offer: Offer) -> Session | bytes:
         token = self.sealer.open(offer.token)
-        if isinstance(token, Refused):
+        if isinstance(token, TokenRefusal):
             return self._refused(token.value)
         tenant = int(names.get("t") or 0)
-        if why := judge(token, Presented(offer.secrets, names.get("c", ""), tenant), self.owner.name, self.clock()):
+        if why := check_token(
+            token, TokenPresentation(offer.secrets, names.get("c", ""), tenant), self.owner.name, self.clock()
+        ):
             return self._refused(why.value)
         register = self._claim(token, offer)
         if isinstance(register, bytes):
             return register
-        box = Outbox(register.sent, register.outbox)
-        if not box.held(offer.seen) or box.after(offer.seen) is None:
+        outbox = Outbox(register.sent, register.outbox)
+        if not outbox.acknowledge(offer.seen) or outbox.lines_after(offer.seen) is None:
             return self._refused("lost")
         self.counts["resumed"] += 1
         return Session(self, names, register, offer.seen)
 
     def _claim(self, token: Token, offer: Offer) -> Register | bytes:
-        shown = Credential(token.epoch, tuple(commit(secret) for secret in offer.secrets), offer.commitment)
+        shown = Credential(token.epoch, tuple(commitment_to(secret) for secret in offer.secrets), offer.commitment)
         now = self.clock()
         try:
             register = self.owner.claim(token.session, shown, self.owner.name, now, now + self.expiry)
@@ -110,8 +110,8 @@
         self.desk = desk
         self.names = names
         self.register = register
-        self.box = Outbox(register.sent, register.outbox)
-        self.box.held(seen)
+        self.outbox = Outbox(register.sent, register.outbox)
+        self.outbox.acknowledge(seen)
         self.state = register.state
         self.on = False  # the server has taken it up
         self.over = False
@@ -133,7 +133,7 @@
             self._end()
             return [line]
         told = line.removesuffix(b" rs=1") + b" rs=%s at=%d" % (self.token(), self.register.applied)
-        again = [write_numbered(Numbered(number, self.register.applied, text)) for number, text in self.box.lines]
+        again = [format_line(NumberedLine(number, self.register.applied, text)) for number, text in self.outbox.lines]
         return [told, *again]
 
     def refusal(self, line: bytes) -> bytes:
@@ -150,8 +150,8 @@
         """Take a client's line that is to be passed on; False where it is none of the extension's."""
         if not self.on:
             return True
-        read = read_numbered(line)
-        return read is not None and self.box.held(read.held)
+        read = parse_line(line)
+        return read is not None and self.outbox.acknowledge(read.acknowledged)
 
     def to_client(self, line: bytes) -> list[bytes] | None:
         """Take a server's line; return what its client gets, or None where another holds the session now."""
@@ -164,7 +164,7 @@
             return [line]
         if word == words.KEEP:
             state = words.keep(line)
-            if state is None or len(state) > MOST_STATE:
+            if state is None or len(state) > MAX_STATE_BYTES:
                 return None
             self.state = state
             return []
@@ -172,7 +172,7 @@
             return [self.move()]
         if word == b"LOAD":
             return [line]
-        read = read_numbered(line)
+        read = parse_line(line)
         return [line] if read is not None and self._recorded(read) else None
 
     def move(self) -> bytes:
@@ -192,13 +192,13 @@
         self.desk.counts["fenced"] += 1
         self.cut()
 
-    def _recorded(self, read: Numbered) -> bool:
+    def _recorded(self, read: NumberedLine) -> bool:
         """Record what a server's line promises, before its client hears it."""
         if read.number:
-            if read.number != self.box.sent + 1 or self.box.full():
+            if read.number != self.outbox.last_sent + 1 or self.outbox.is_full():
                 return False
-            self.box.put(read.text)
-        progress = Progress(read.held, self.box.sent, self.state, tuple(self.box.lines))
+            self.outbox.append(read.text)
+        progress = Progress(read.acknowledged, self.outbox.last_sent, self.state, tuple(self.outbox.lines))
         expires = self.desk.clock() + self.desk.expiry
         return self._kept(lambda: self.desk.owner.record(self.register.session, self.register.epoch, progress, expires))
 
@@ -207,7 +207,7 @@
         self.leave()
         return done
 
-    def _kept(self, ask: Callable[[], Outcome]) -> bool:
+    def _kept(self, ask: Callable[[], TransitionResult]) -> bool:
         """Ask the owner; False where it says no, or can't say: what is not recorded is not passed on."""
         try:
             outcome = ask()
--- a/scaledeal/resume/wire/words.py
+++ b/scaledeal/resume/wire/words.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from scaledeal.resume.core.token import decoded
+from scaledeal.resume.core.token import decode_base64url
 
 KEEP = b"KEEP"
 NAMES = ("rs", "op", "rc", "seen")  # of OPEN, for the relay alone
@@ -27,12 +27,12 @@
     """Read an offer off an OPEN's named values; None where there is none. Raise ValueError where it is malformed."""
     if "rs" not in names:
         return None
-    commitment = decoded(names.get("rc", ""))
+    commitment = decode_base64url(names.get("rc", ""))
     if commitment is None or len(commitment) != DIGEST:
         raise ValueError("rc")
     if names["rs"] == "1":
         return Offer(commitment)
-    secrets = tuple(decoded(each) or b"" for each in names.get("op", "").split("."))
+    secrets = tuple(decode_base64url(each) or b"" for each in names.get("op", "").split("."))
     seen = names.get("seen", "0")
     if not (seen.isascii() and seen.isdigit() and len(seen) <= 15):
         raise ValueError("seen")
--- a/tests/test_resume_flows.py
+++ b/tests/test_resume_flows.py
@@ -65,7 +65,7 @@
         client.say("done")
         self.until(lambda: client.byes, f"the final answer, not {client.words[-3:]}")
         assert client.lines == [f"echo {each}".encode() for each in (*said, "done")]
-        assert client.byes == 1 and not client.box.lines
+        assert client.byes == 1 and not client.outbox.lines
         ledger = Ledger(self.ledger, "here")
         assert [each.answered for each in ledger.sessions()] == [True] * len(list(ledger.sessions()))
         ledger.close()
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -19,17 +19,17 @@
 from scaledeal.cli.main import app
 from scaledeal.resume.core import lines
 from scaledeal.resume.core import register as reg
-from scaledeal.resume.core.register import Credential, Progress, Register, Why
+from scaledeal.resume.core.register import Credential, Progress, Register, TransitionRefusal
 from scaledeal.resume.core.token import (
-    LONGEST,
-    Presented,
-    Refused,
+    MAX_TOKEN_CHARS,
     Sealer,
     Token,
-    commit,
-    decoded,
-    encoded,
-    judge,
+    TokenPresentation,
+    TokenRefusal,
+    check_token,
+    commitment_to,
+    decode_base64url,
+    encode_base64url,
 )
 from scaledeal.resume.stores.ledger import Ledger, LedgerError, opened
 from scaledeal.resume.stores.owner import FullError, Memory
@@ -59,39 +59,39 @@
     first = begun()
     second = reg.claim(first, shown(1), "b", 0, LATER)
     assert isinstance(second, Register) and (second.epoch, second.holder) == (2, "b")
-    assert reg.claim(second, shown(1), "c", 0, LATER) is Why.STALE  # the token presented twice
-    assert reg.record(second, 1, Progress(1, 0), LATER) is Why.STALE  # the old server's late words
-    assert reg.answer(second, 1) is Why.STALE
+    assert reg.claim(second, shown(1), "c", 0, LATER) is TransitionRefusal.STALE  # the token presented twice
+    assert reg.record(second, 1, Progress(1, 0), LATER) is TransitionRefusal.STALE  # the old server's late words
+    assert reg.answer(second, 1) is TransitionRefusal.STALE
     done = reg.answer(second, 2)
-    assert isinstance(done, Register) and reg.answer(done, 2) is Why.ANSWERED
-    assert reg.claim(done, shown(2, b"new"), "c", 0, LATER) is Why.ANSWERED
-    assert reg.record(done, 2, Progress(1, 0), LATER) is Why.STALE
+    assert isinstance(done, Register) and reg.answer(done, 2) is TransitionRefusal.ANSWERED
+    assert reg.claim(done, shown(2, b"new"), "c", 0, LATER) is TransitionRefusal.ANSWERED
+    assert reg.record(done, 2, Progress(1, 0), LATER) is TransitionRefusal.STALE
 
 
 def test_a_client_that_never_heard_its_grant() -> None:
     """The answer to a resume is lost: the old token with the new secret goes on, and with what was seen it does not."""
     granted = reg.claim(begun(), shown(1, b"own", new=b"two"), "b", 0, LATER)
     assert isinstance(granted, Register)
-    assert reg.claim(granted, shown(1, b"own", new=b"spy"), "x", 0, LATER) is Why.STALE
-    assert reg.claim(granted, shown(2, b"own", new=b"spy"), "x", 0, LATER) is Why.HOLDER
+    assert reg.claim(granted, shown(1, b"own", new=b"spy"), "x", 0, LATER) is TransitionRefusal.STALE
+    assert reg.claim(granted, shown(2, b"own", new=b"spy"), "x", 0, LATER) is TransitionRefusal.WRONG_HOLDER
     again = reg.claim(granted, shown(1, b"own", b"two", new=b"three"), "c", 0, LATER)
     assert isinstance(again, Register) and (again.epoch, again.commitment) == (3, b"three")
-    assert reg.claim(again, shown(1, b"own", b"two", new=b"spy"), "x", 0, LATER) is Why.STALE
-    assert reg.claim(again, shown(2, b"own", b"two", new=b"spy"), "x", 0, LATER) is Why.STALE
+    assert reg.claim(again, shown(1, b"own", b"two", new=b"spy"), "x", 0, LATER) is TransitionRefusal.STALE
+    assert reg.claim(again, shown(2, b"own", b"two", new=b"spy"), "x", 0, LATER) is TransitionRefusal.STALE
 
 
 def test_what_is_not_there_or_late() -> None:
-    assert reg.claim(None, shown(1), "b", 0, LATER) is Why.UNKNOWN
-    assert reg.record(None, 1, Progress(0, 0), LATER) is Why.UNKNOWN
-    assert reg.answer(None, 1) is Why.UNKNOWN
-    assert reg.begin(begun(), "s", "b", LATER) is Why.KNOWN
-    assert reg.claim(begun(), shown(1), "b", LATER, 2 * LATER) is Why.EXPIRED
+    assert reg.claim(None, shown(1), "b", 0, LATER) is TransitionRefusal.UNKNOWN
+    assert reg.record(None, 1, Progress(0, 0), LATER) is TransitionRefusal.UNKNOWN
+    assert reg.answer(None, 1) is TransitionRefusal.UNKNOWN
+    assert reg.begin(begun(), "s", "b", LATER) is TransitionRefusal.ALREADY_BEGUN
+    assert reg.claim(begun(), shown(1), "b", LATER, 2 * LATER) is TransitionRefusal.EXPIRED
 
 
 @pytest.mark.parametrize(
     "bad",
     [
-        Progress(0, 0, b"x" * (reg.MOST_STATE + 1)),
+        Progress(0, 0, b"x" * (reg.MAX_STATE_BYTES + 1)),
         Progress(0, 1, outbox=((2, b""),)),
         Progress(0, 2, outbox=((1, b""),)),
         Progress(0, 99, outbox=tuple((n, b"") for n in range(35, 100))),
@@ -99,14 +99,14 @@
     ],
 )
 def test_progress_is_bounded_and_without_gaps(bad: Progress) -> None:
-    assert reg.record(begun(), 1, bad, LATER) is Why.BOUNDS
+    assert reg.record(begun(), 1, bad, LATER) is TransitionRefusal.OUT_OF_BOUNDS
 
 
 def test_progress_never_goes_back() -> None:
     after = reg.record(begun(), 1, Progress(3, 2, b"s", ((1, b"x"), (2, b"y"))), LATER)
     assert isinstance(after, Register)
-    assert reg.record(after, 1, Progress(2, 2), LATER) is Why.BOUNDS
-    assert reg.record(after, 1, Progress(3, 1), LATER) is Why.BOUNDS
+    assert reg.record(after, 1, Progress(2, 2), LATER) is TransitionRefusal.OUT_OF_BOUNDS
+    assert reg.record(after, 1, Progress(3, 1), LATER) is TransitionRefusal.OUT_OF_BOUNDS
 
 
 # Numbered lines
@@ -114,28 +114,33 @@
 
 @given(st.integers(1, 10**15 - 1), st.integers(0, 10**15 - 1), st.binary(max_size=60))
 def test_numbered_lines_there_and_back(number: int, held: int, text: bytes) -> None:
-    line = lines.Numbered(number, held, text)
-    assert lines.read(lines.write(line)) == line
-    assert lines.read(lines.write(lines.Numbered(0, held))) == lines.Numbered(0, held)
+    line = lines.NumberedLine(number, held, text)
+    assert lines.parse_line(lines.format_line(line)) == line
+    assert lines.parse_line(lines.format_line(lines.NumberedLine(0, held))) == lines.NumberedLine(0, held)
 
 
 @given(st.binary(max_size=40))
 def test_other_lines_are_none(raw: bytes) -> None:
-    found = lines.read(raw)
-    assert found is None or lines.read(lines.write(found)) == found
+    found = lines.parse_line(raw)
+    assert found is None or lines.parse_line(lines.format_line(found)) == found
 
 
 def test_a_resume_of_what_is_gone_is_not_made_up() -> None:
     """A line that has been acknowledged can't be sent again: that must be told, not skipped."""
-    box = lines.Outbox()
+    outbox = lines.Outbox()
     for text in (b"a", b"b", b"c"):
-        box.put(text)
-    assert box.held(2) and not box.held(4)
-    assert box.after(2) == [(3, b"c")] and box.after(3) == [] and box.after(1) is None and box.after(4) is None
-    for _ in range(lines.MOST_LINES - 1):
-        box.put(b"")
+        outbox.append(text)
+    assert outbox.acknowledge(2) and not outbox.acknowledge(4)
+    assert (
+        outbox.lines_after(2) == [(3, b"c")]
+        and outbox.lines_after(3) == []
+        and outbox.lines_after(1) is None
+        and outbox.lines_after(4) is None
+    )
+    for _ in range(lines.MAX_OUTBOX_LINES - 1):
+        outbox.append(b"")
     with pytest.raises(OverflowError):
-        box.put(b"")
+        outbox.append(b"")
 
 
 class Exchange(RuleBasedStateMachine):
@@ -143,15 +148,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.box, self.inbox = lines.Outbox(), lines.Inbox()
+        self.outbox, self.inbox = lines.Outbox(), lines.Inbox()
         self.sent: list[bytes] = []
         self.got: list[bytes] = []
         self.wire: list[tuple[int, bytes]] = []
 
     @rule(text=st.binary(max_size=4))
     def send(self, text: bytes) -> None:
-        if not self.box.full():
-            self.wire.append((self.box.put(text), text))
+        if not self.outbox.is_full():
+            self.wire.append((self.outbox.append(text), text))
             self.sent.append(text)
 
     @rule(data=st.data())
@@ -159,24 +164,24 @@
         if not self.wire:
             return
         number, text = self.wire[data.draw(st.integers(0, len(self.wire) - 1))]
-        if self.inbox.judge(number) is lines.Take.APPLY:
-            self.inbox.applied(number)
+        if self.inbox.classify(number) is lines.LineVerdict.APPLY:
+            self.inbox.mark_applied(number)
             self.got.append(text)
 
     @rule()
     def acknowledged(self) -> None:
-        assert self.box.held(self.inbox.held)
+        assert self.outbox.acknowledge(self.inbox.last_applied)
 
     @rule()
     def broken_and_resumed(self) -> None:
-        again = self.box.after(self.inbox.held)
+        again = self.outbox.lines_after(self.inbox.last_applied)
         assert again is not None
         self.wire = list(again)
 
     @invariant()
     def once_and_in_order(self) -> None:
         assert self.got == self.sent[: len(self.got)]
-        assert self.box.bytes == sum(len(text) for _, text in self.box.lines)
+        assert self.outbox.size_bytes == sum(len(text) for _, text in self.outbox.lines)
 
 
 TestExchange = Exchange.TestCase
@@ -192,19 +197,19 @@
 
 def token(**other: Any) -> Token:
     return msgspec.structs.replace(
-        Token("s-1", 3, "overlay", "sheet-7", 0, "t-1", "store", 5, 6, 0, 100 * SECOND, commit(SECRET)), **other
+        Token("s-1", 3, "overlay", "sheet-7", 0, "t-1", "store", 5, 6, 0, 100 * SECOND, commitment_to(SECRET)), **other
     )
 
 
 def judged(text: str, sealer: Sealer, **other: Any) -> Any:
     found = sealer.open(text)
-    if isinstance(found, Refused):
+    if isinstance(found, TokenRefusal):
         return found
     usual = {"secrets": (SECRET,), "request_class": "overlay", "tenant": 0, "owner": "store", "now": SECOND}
     presented = {**usual, **other}
-    return judge(
+    return check_token(
         found,
-        Presented(presented["secrets"], presented["request_class"], presented["tenant"]),
+        TokenPresentation(presented["secrets"], presented["request_class"], presented["tenant"]),
         presented["owner"],
         presented["now"],
     )
@@ -214,24 +219,24 @@
     sealer = Sealer(KEYS, 1)
     text = sealer.seal(token())
     assert sealer.open(text) == token() and judged(text, sealer) is None
-    assert len(text) <= LONGEST and SECRET.hex() not in repr(token()) and "sheet" not in repr(token())
+    assert len(text) <= MAX_TOKEN_CHARS and SECRET.hex() not in repr(token()) and "sheet" not in repr(token())
 
 
 @pytest.mark.parametrize(
     ("other", "why"),
     [
-        ({"secrets": (bytes(32),)}, Refused.HOLDER),
-        ({"secrets": ()}, Refused.HOLDER),
-        ({"secrets": (SECRET[:-1],)}, Refused.HOLDER),
-        ({"secrets": (SECRET,) * 3}, Refused.HOLDER),
-        ({"now": 100 * SECOND}, Refused.EXPIRED),
-        ({"now": -6 * SECOND}, Refused.FUTURE),
-        ({"request_class": "notes"}, Refused.OTHER),
-        ({"tenant": 1}, Refused.OTHER),
-        ({"owner": "x"}, Refused.ELSEWHERE),
+        ({"secrets": (bytes(32),)}, TokenRefusal.WRONG_HOLDER),
+        ({"secrets": ()}, TokenRefusal.WRONG_HOLDER),
+        ({"secrets": (SECRET[:-1],)}, TokenRefusal.WRONG_HOLDER),
+        ({"secrets": (SECRET,) * 3}, TokenRefusal.WRONG_HOLDER),
+        ({"now": 100 * SECOND}, TokenRefusal.EXPIRED),
+        ({"now": -6 * SECOND}, TokenRefusal.ISSUED_IN_FUTURE),
+        ({"request_class": "notes"}, TokenRefusal.OTHER_REQUEST),
+        ({"tenant": 1}, TokenRefusal.OTHER_REQUEST),
+        ({"owner": "x"}, TokenRefusal.OTHER_OWNER),
     ],
 )
-def test_a_token_that_may_not_be_used(other: dict[str, Any], why: Refused) -> None:
+def test_a_token_that_may_not_be_used(other: dict[str, Any], why: TokenRefusal) -> None:
     """Of another, late, of the future, for another class or tenant, of another owner: each told plainly."""
     sealer = Sealer(KEYS, 1)
     assert judged(sealer.seal(token()), sealer, **other) is why
@@ -240,9 +245,9 @@
 def test_keys_are_rotated_and_retired() -> None:
     old, both, new = Sealer({1: KEYS[1]}, 1), Sealer(KEYS, 2), Sealer({2: KEYS[2]}, 2)
     text = old.seal(token())
-    assert judged(text, both) is None and judged(text, new) is Refused.KEY
+    assert judged(text, both) is None and judged(text, new) is TokenRefusal.UNKNOWN_KEY
     assert judged(both.seal(token()), new) is None
-    assert judged(text, Sealer({1: KEYS[2]}, 1)) is Refused.MALFORMED
+    assert judged(text, Sealer({1: KEYS[2]}, 1)) is TokenRefusal.MALFORMED
     with pytest.raises(ValueError):
         Sealer(KEYS, 3)
 
@@ -252,10 +257,10 @@
     text = sealer.seal(token())
     for at in range(len(text)):
         other = "A" if text[at] != "A" else "B"
-        assert judged(text[:at] + other + text[at + 1 :], sealer) in (Refused.MALFORMED, Refused.KEY)
-        assert judged(text[:at], sealer) in (Refused.MALFORMED, Refused.KEY)
-    for bad in ("", "é", "A" * (LONGEST + 1), text + "=", text + "\n", " " + text):
-        assert sealer.open(bad) is Refused.MALFORMED
+        assert judged(text[:at] + other + text[at + 1 :], sealer) in (TokenRefusal.MALFORMED, TokenRefusal.UNKNOWN_KEY)
+        assert judged(text[:at], sealer) in (TokenRefusal.MALFORMED, TokenRefusal.UNKNOWN_KEY)
+    for bad in ("", "é", "A" * (MAX_TOKEN_CHARS + 1), text + "=", text + "\n", " " + text):
+        assert sealer.open(bad) is TokenRefusal.MALFORMED
     with pytest.raises(ValueError, match="characters"):
         sealer.seal(token(group="g" * 1000))
 
@@ -263,10 +268,10 @@
 @given(st.binary(max_size=50))
 def test_one_text_for_each_token(raw: bytes) -> None:
     """A second text for the same bytes would be a second token to whoever keeps lists of them."""
-    text = encoded(raw)
-    assert not raw or decoded(text) == raw
+    text = encode_base64url(raw)
+    assert not raw or decode_base64url(text) == raw
     for last in "ABCDEFGHIJKLMNOPQRSTUVWXYZ-_":
-        if raw and decoded(text[:-1] + last) == raw:
+        if raw and decode_base64url(text[:-1] + last) == raw:
             assert text[-1] == last
 
 
@@ -279,7 +284,7 @@
         store.begin(name, "h", LATER)
     with pytest.raises(FullError):
         store.begin("c", "h", LATER)
-    assert store.begin("a", "h", LATER) is Why.KNOWN
+    assert store.begin("a", "h", LATER) is TransitionRefusal.ALREADY_BEGUN
     store.answer("a", 1)
     assert isinstance(store.begin("c", "h", LATER), Register) and store.get("a") is None
     assert store.expire(LATER) == 2 and not list(store.sessions())
@@ -424,7 +429,7 @@
     with pytest.raises(LedgerError, match="1 grants that were told are missing"):
         Ledger(path, "l")
     fresh, why = opened(path, "l")
-    assert "set aside" in why and fresh.claim("s", shown(1, b""), "x", 0, LATER) is Why.UNKNOWN
+    assert "set aside" in why and fresh.claim("s", shown(1, b""), "x", 0, LATER) is TransitionRefusal.UNKNOWN
     fresh.close()
     assert [each for each in tmp_path.iterdir() if "aside" in each.name]
 
@@ -452,10 +457,15 @@
     desk = Desk(ledger, Sealer(KEYS, 1), SECOND, lambda: SECOND)
     with pytest.raises(LedgerError):
         ledger.claim("s", shown(1), "x", 0, LATER)
-    names = {"c": "overlay", "rs": "1", "rc": encoded(commit(SECRET))}
+    names = {"c": "overlay", "rs": "1", "rc": encode_base64url(commitment_to(SECRET))}
     assert desk.come(names) is None
     token_of = sealed(desk, session="s", epoch=1, owner="l")
-    again = {"c": "overlay", "rs": token_of, "op": encoded(SECRET), "rc": encoded(commit(bytes(32)))}
+    again = {
+        "c": "overlay",
+        "rs": token_of,
+        "op": encode_base64url(SECRET),
+        "rc": encode_base64url(commitment_to(bytes(32))),
+    }
     assert desk.come(again) == b"BUSY 500"
     other.execute("ROLLBACK")
     other.close()
@@ -479,7 +489,7 @@
     assert run.invoke(app, ["sessions", "verify", str(path)]).exit_code == 0
     base = sqlite3.connect(path)
     base.execute("UPDATE sessions SET body = x'00' WHERE session = 's7'")
-    base.commit()
+    base.commitment_to()
     base.close()
     refused = run.invoke(app, ["sessions", "verify", str(path)])
     assert refused.exit_code == 2 and "'s7' is not as it was written" in refused.output
