--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -489,7 +489,7 @@
     assert run.invoke(app, ["sessions", "verify", str(path)]).exit_code == 0
     base = sqlite3.connect(path)
     base.execute("UPDATE sessions SET body = x'00' WHERE session = 's7'")
-    base.commitment_to()
+    base.commit()
     base.close()
     refused = run.invoke(app, ["sessions", "verify", str(path)])
     assert refused.exit_code == 2 and "'s7' is not as it was written" in refused.output
