--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -139,7 +139,7 @@
     began = time.perf_counter()
     progress = Progress(5, 5, b"x" * 200)
     for start in range(0, sessions, 1000):
-        made.batch(
+        made.apply_batch(
             [
                 step
                 for number in range(start, min(sessions, start + 1000))
@@ -155,7 +155,7 @@
         made.record("s0000001", 1, progress, LATER)
     alone = 300 / (time.perf_counter() - began)
     began = time.perf_counter()
-    made.batch([("s0000001", lambda old: reg.record(old, 1, progress, LATER), False)] * 3000)
+    made.apply_batch([("s0000001", lambda old: reg.record(old, 1, progress, LATER), False)] * 3000)
     batched = 3000 / (time.perf_counter() - began)
     made.compact()
     made.close()
--- a/scaledeal/resume/stores/__init__.py
+++ b/scaledeal/resume/stores/__init__.py
@@ -1,1 +1,1 @@
-"""Who keeps the registers of sessions: memory, or a ledger on disk. They choose nothing: see ``core.register``."""
+"""Stores of session registers: memory, or a ledger on disk. ``core.register`` makes the decisions, not the stores."""
--- a/scaledeal/resume/stores/ledger.py
+++ b/scaledeal/resume/stores/ledger.py
@@ -1,9 +1,9 @@
 """The ledger: registers on disk, in SQLite (WAL, synchronous=FULL), so that a fence outlives the process.
 
-A grant is told after its commit. The ledger counts its grants inside the same transactions, and once more in a file
-beside it: a WAL whose end is torn is cut off by SQLite without a word, and the two counts then differ. It also keeps
-the number of its rows and the exclusive or of their sums: a flipped bit can take a row out of a page, and SQLite's own
-check does not know that it was there.
+A grant is reported after its commit. The ledger counts its grants within the same transactions, and again in a separate
+file: SQLite silently truncates a WAL whose end is torn, and the two counts then differ. The ledger also keeps the
+number of its rows and the exclusive or of their checksums: a flipped bit can remove a row from a page, and SQLite's own
+integrity check can't tell that the row existed.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 import msgspec
 
 from scaledeal.resume.core.register import Register, TransitionResult
-from scaledeal.resume.stores.owner import FullError, OwnerError, Step, Steps
+from scaledeal.resume.stores.owner import FullError, OwnerError, Transition, TransitionStore
 
-SCHEMA = 1
-PATIENCE = 0.25  # seconds that a transition waits for another process's: the relay waits with it
-_TABLES = """
+SCHEMA_VERSION = 1
+LOCK_TIMEOUT_S = 0.25  # wait for another process's transaction; the relay's event loop is blocked meanwhile
+_SCHEMA_SQL = """
 CREATE TABLE IF NOT EXISTS about (one INTEGER PRIMARY KEY CHECK (one = 1), schema INTEGER, grants INTEGER,
                                   rows INTEGER, sums BLOB);
 INSERT OR IGNORE INTO about VALUES (1, 1, 0, 0, zeroblob(16));
@@ -35,33 +35,36 @@
 
 
 class LedgerError(OwnerError):
-    """A ledger that can't be believed, or can't be opened; the text is one plain line."""
+    """A ledger is corrupt, locked or can't be opened; the text is one line for operators."""
 
 
-def _xor(one: bytes, other: bytes) -> bytes:
-    return (int.from_bytes(one, "big") ^ int.from_bytes(other, "big")).to_bytes(16, "big")
+def _xor(first: bytes, second: bytes) -> bytes:
+    return (int.from_bytes(first, "big") ^ int.from_bytes(second, "big")).to_bytes(16, "big")
 
 
-def _sum(body: bytes) -> bytes:
+def _checksum(body: bytes) -> bytes:
     return blake2b(body, digest_size=16).digest()
 
 
-class Ledger(Steps):
-    """Owns the database, and the file that counts its grants; ``close`` gives both back."""
+class Ledger(TransitionStore):
+    """Owns the database and the file with the count of its grants; ``close`` closes both.
 
-    def __init__(self, path: Path, name: str, most: int = 1_000_000) -> None:
+    Raises LedgerError if it can't be opened, or if its contents are not as they were written.
+    """
+
+    def __init__(self, path: Path, name: str, max_sessions: int = 1_000_000) -> None:
         self.path = path
         self.name = name
-        self.most = most
-        self._mark = -1
-        self._rows, self._sums = 0, bytes(16)
+        self.max_sessions = max_sessions
+        self._grant_count_fd = -1
+        self._row_count, self._checksum_xor = 0, bytes(16)
         try:
-            self._base = sqlite3.connect(path, isolation_level=None, timeout=PATIENCE)
+            self._connection = sqlite3.connect(path, isolation_level=None, timeout=LOCK_TIMEOUT_S)
             for pragma in ("journal_mode=WAL", "synchronous=FULL", "cell_size_check=ON"):
-                self._base.execute(f"PRAGMA {pragma}")
-            self._check(path.exists())
-            self._base.executescript(_TABLES)
-            self._mark = os.open(self._beside(), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+                self._connection.execute(f"PRAGMA {pragma}")
+            self._check_integrity(path.exists())
+            self._connection.executescript(_SCHEMA_SQL)
+            self._grant_count_fd = os.open(self._grant_count_path(), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             self._verify()
         except (sqlite3.Error, OSError) as error:
             self.close()
@@ -70,134 +73,142 @@
             self.close()
             raise
 
-    def _beside(self) -> Path:
+    def _grant_count_path(self) -> Path:
         return self.path.with_name(self.path.name + "-grants")
 
     def close(self) -> None:
         """Close both files."""
         with contextlib.suppress(sqlite3.Error, AttributeError):
-            self._base.close()
-        if self._mark >= 0:
-            os.close(self._mark)
-            self._mark = -1
+            self._connection.close()
+        if self._grant_count_fd >= 0:
+            os.close(self._grant_count_fd)
+            self._grant_count_fd = -1
 
-    # Whether it can be believed
+    # Verification
 
-    def _check(self, there: bool) -> None:
-        found = self._base.execute("PRAGMA integrity_check(1)").fetchone()[0] if there else "ok"
-        if found != "ok":
-            raise LedgerError(f"{self.path}: is corrupt: {' '.join(found.split())}")
+    def _check_integrity(self, exists: bool) -> None:
+        finding = self._connection.execute("PRAGMA integrity_check(1)").fetchone()[0] if exists else "ok"
+        if finding != "ok":
+            raise LedgerError(f"{self.path}: corrupt database: {' '.join(finding.split())}")
 
     def _verify(self) -> None:
-        """Read everything; raise LedgerError at the first thing that is not as it was written."""
-        schema, grants, rows, sums = self._base.execute("SELECT schema, grants, rows, sums FROM about").fetchone()
-        if schema != SCHEMA:
-            raise LedgerError(f"{self.path}: schema {schema} is not known")
-        if (told := self._told()) > grants:
-            raise LedgerError(f"{self.path}: {told - grants} grants that were told are missing")
-        count, mixed = 0, bytes(16)
-        for session, expires, answered, body, total in self._base.execute("SELECT * FROM sessions"):
-            kept = self._read(session, body, total)
-            # Guards against a session that is forgotten too soon: these two columns are outside of the sum.
-            if (kept.session, kept.expires, kept.answered) != (session, expires, bool(answered)):
+        """Read all rows; raise LedgerError at the first difference from what was written."""
+        schema, grants, rows, checksums = self._connection.execute(
+            "SELECT schema, grants, rows, sums FROM about"
+        ).fetchone()
+        if schema != SCHEMA_VERSION:
+            raise LedgerError(f"{self.path}: unknown schema version {schema}")
+        if (reported := self._read_grant_count()) > grants:
+            raise LedgerError(f"{self.path}: {reported - grants} reported grants are missing")
+        count, checksum_xor = 0, bytes(16)
+        for session, expires, answered, body, checksum in self._connection.execute("SELECT * FROM sessions"):
+            register = self._decode_register(session, body, checksum)
+            # The checksum does not cover the columns by which sessions are expired and evicted: a flipped bit there
+            # would delete a session too soon.
+            if (register.session, register.expires, register.answered) != (session, expires, bool(answered)):
                 raise LedgerError(f"{self.path}: session {session!r} is not as it was written")
-            count, mixed = count + 1, _xor(mixed, total)
-        if (count, mixed) != (rows, sums):
-            raise LedgerError(f"{self.path}: {count} sessions are there, {rows} were written")
-        self._rows, self._sums = rows, sums
-        self._tell(grants)
-
-    def _told(self) -> int:
-        """Return how many grants had been told."""
-        raw = os.pread(self._mark, 24, 0)
+            count, checksum_xor = count + 1, _xor(checksum_xor, checksum)
+        if (count, checksum_xor) != (rows, checksums):
+            raise LedgerError(f"{self.path}: the sessions differ from those written: found {count}, wrote {rows}")
+        self._row_count, self._checksum_xor = rows, checksums
+        self._write_grant_count(grants)
+
+    def _read_grant_count(self) -> int:
+        """Return how many grants had been reported."""
+        raw = os.pread(self._grant_count_fd, 24, 0)
         if not raw:
             return 0
-        if len(raw) != 24 or _sum(raw[:8]) != raw[8:]:
-            raise LedgerError(f"{self._beside()}: is corrupt")
+        if len(raw) != 24 or _checksum(raw[:8]) != raw[8:]:
+            raise LedgerError(f"{self._grant_count_path()}: corrupt grant count")
         return int.from_bytes(raw[:8], "big")
 
-    def _tell(self, grants: int) -> None:
+    def _write_grant_count(self, grants: int) -> None:
         raw = grants.to_bytes(8, "big")
-        os.pwrite(self._mark, raw + _sum(raw), 0)
+        os.pwrite(self._grant_count_fd, raw + _checksum(raw), 0)
 
     # Transitions
 
-    def apply(self, session: str, step: Step, new: bool = False) -> TransitionResult:
-        """Apply one transition, durably."""
-        return self.batch([(session, step, new)])[0]
+    def apply(self, session: str, transition: Transition, needs_room: bool = False) -> TransitionResult:
+        """Apply one transition; its grant is durable once this returns."""
+        return self.apply_batch([(session, transition, needs_room)])[0]
+
+    def apply_batch(self, transitions: list[tuple[str, Transition, bool]]) -> list[TransitionResult]:
+        """Apply several transitions with one commit: all are durable once this returns; if it raises, none is granted.
 
-    def batch(self, steps: list[tuple[str, Step, bool]]) -> list[TransitionResult]:
-        """Apply several transitions with one commit: all are durable once this returns, or none is told."""
-        return self._transaction(lambda: [self._one(*each) for each in steps])
+        Each entry is the session, the transition and whether it may add a session, as for ``apply``.
+        """
+        return self._transaction(lambda: [self._apply_one(*each) for each in transitions])
 
-    def _transaction(self, work: Callable[[], list[TransitionResult]]) -> list[TransitionResult]:
+    def _transaction(self, operation: Callable[[], list[TransitionResult]]) -> list[TransitionResult]:
         try:
-            self._base.execute("BEGIN IMMEDIATE")
+            self._connection.execute("BEGIN IMMEDIATE")
         except sqlite3.Error as error:
             raise LedgerError(f"{self.path}: {error}") from None
-        # Read anew each time: a command may have expired sessions meanwhile.
-        before = self._rows, self._sums = self._base.execute("SELECT rows, sums FROM about").fetchone()
+        # Read these on each transaction: a `scaledeal sessions` command may have expired sessions since the last one.
+        before = self._row_count, self._checksum_xor = self._connection.execute(
+            "SELECT rows, sums FROM about"
+        ).fetchone()
         try:
-            outcomes = work()
-            granted = sum(isinstance(each, Register) for each in outcomes)
-            grants = self._base.execute(
+            results = operation()
+            granted = sum(isinstance(each, Register) for each in results)
+            grants = self._connection.execute(
                 "UPDATE about SET grants = grants + ?, rows = ?, sums = ? RETURNING grants",
-                (granted, self._rows, self._sums),
+                (granted, self._row_count, self._checksum_xor),
             ).fetchone()[0]
-            self._base.execute("COMMIT")
+            self._connection.execute("COMMIT")
         except BaseException as error:
-            self._rows, self._sums = before
-            if self._base.in_transaction:
-                self._base.execute("ROLLBACK")
-            if isinstance(error, sqlite3.Error):  # a full disk, say: nothing was granted
+            self._row_count, self._checksum_xor = before
+            if self._connection.in_transaction:
+                self._connection.execute("ROLLBACK")
+            if isinstance(error, sqlite3.Error):  # for example a full disk; nothing was granted
                 raise LedgerError(f"{self.path}: {error}") from None
             raise
         if granted:
-            self._tell(grants)
-        return outcomes
+            self._write_grant_count(grants)
+        return results
 
-    def _one(self, session: str, step: Step, new: bool) -> TransitionResult:
+    def _apply_one(self, session: str, transition: Transition, needs_room: bool) -> TransitionResult:
         before = self.get(session)
-        after = step(before)
+        after = transition(before)
         if not isinstance(after, Register):
             return after
-        if new and before is None:
-            self._room()
+        if needs_room and before is None:
+            self._make_room()
         body = msgspec.msgpack.encode(after)
         if before is not None:
-            self._remove(_sum(msgspec.msgpack.encode(before)))
-        self._rows, self._sums = self._rows + 1, _xor(self._sums, _sum(body))
-        self._base.execute(
+            self._subtract_row(_checksum(msgspec.msgpack.encode(before)))
+        self._row_count, self._checksum_xor = self._row_count + 1, _xor(self._checksum_xor, _checksum(body))
+        self._connection.execute(
             "INSERT OR REPLACE INTO sessions VALUES (?, ?, ?, ?, ?)",
-            (session, after.expires, after.answered, body, _sum(body)),
+            (session, after.expires, after.answered, body, _checksum(body)),
         )
         return after
 
-    def _remove(self, total: bytes) -> None:
-        self._rows, self._sums = self._rows - 1, _xor(self._sums, total)
+    def _subtract_row(self, checksum: bytes) -> None:
+        self._row_count, self._checksum_xor = self._row_count - 1, _xor(self._checksum_xor, checksum)
 
-    def _room(self) -> None:
-        if self._rows < self.most:
+    def _make_room(self) -> None:
+        if self._row_count < self.max_sessions:
             return
-        oldest = "session = (SELECT session FROM sessions WHERE answered = 1 ORDER BY expires LIMIT 1)"
-        if not self._delete(oldest, ()):
-            raise FullError(f"{self.most} sessions are kept")
+        oldest_answered = "session = (SELECT session FROM sessions WHERE answered = 1 ORDER BY expires LIMIT 1)"
+        if not self._delete(oldest_answered, ()):
+            raise FullError(f"the ledger is full with {self.max_sessions} sessions")
 
     def _delete(self, where: str, values: tuple[int, ...]) -> int:
-        gone = self._base.execute(f"DELETE FROM sessions WHERE {where} RETURNING sum", values).fetchall()  # noqa: S608
-        for (total,) in gone:
-            self._remove(total)
-        return len(gone)
+        deleted = self._connection.execute(f"DELETE FROM sessions WHERE {where} RETURNING sum", values).fetchall()  # noqa: S608
+        for (checksum,) in deleted:
+            self._subtract_row(checksum)
+        return len(deleted)
 
-    # What is asked of it
+    # Queries and maintenance
 
     def get(self, session: str) -> Register | None:
-        """Return a session's register; raise LedgerError where it is not as it was written."""
-        row = self._base.execute("SELECT body, sum FROM sessions WHERE session = ?", (session,)).fetchone()
-        return self._read(session, *row) if row is not None else None
+        """Return a session's register, or None; raise LedgerError if it is not as it was written."""
+        row = self._connection.execute("SELECT body, sum FROM sessions WHERE session = ?", (session,)).fetchone()
+        return self._decode_register(session, *row) if row is not None else None
 
-    def _read(self, session: str, body: bytes, total: bytes) -> Register:
-        if _sum(body) != total:
+    def _decode_register(self, session: str, body: bytes, checksum: bytes) -> Register:
+        if _checksum(body) != checksum:
             raise LedgerError(f"{self.path}: session {session!r} is not as it was written")
         try:
             return msgspec.msgpack.decode(body, type=Register)
@@ -206,42 +217,43 @@
 
     def sessions(self) -> Iterator[Register]:
         """Return all registers, the next to expire first."""
-        for row in self._base.execute("SELECT session, body, sum FROM sessions ORDER BY expires"):
-            yield self._read(*row)
+        for row in self._connection.execute("SELECT session, body, sum FROM sessions ORDER BY expires"):
+            yield self._decode_register(*row)
 
     def expire(self, now: int) -> int:
-        """Forget the sessions whose time is up."""
-        before = self._rows
+        """Delete the sessions that have expired and return how many they were."""
+        before = self._row_count
 
-        def work() -> list[TransitionResult]:
+        def delete_expired() -> list[TransitionResult]:
             self._delete("expires <= ?", (now,))
             return []
 
-        self._transaction(work)
-        return before - self._rows
+        self._transaction(delete_expired)
+        return before - self._row_count
 
     def compact(self) -> None:
-        """Give back the room of what is gone."""
-        self._base.execute("VACUUM")
-        self._base.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        """Return the space of deleted sessions to the file system; call it only while no relay uses the ledger."""
+        self._connection.execute("VACUUM")
+        self._connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
 
-    def snapshot(self, to: Path) -> None:
-        """Copy the ledger as it is at one moment, while it is in use; the copy is a ledger itself."""
-        with contextlib.closing(sqlite3.connect(to)) as copy:
-            self._base.backup(copy)
+    def snapshot(self, destination: Path) -> None:
+        """Copy a consistent snapshot of the ledger while it is in use; the copy can be opened as a ledger."""
+        with contextlib.closing(sqlite3.connect(destination)) as copy:
+            self._connection.backup(copy)
 
 
-def opened(path: Path, name: str, most: int = 1_000_000) -> tuple[Ledger, str]:
-    """Open a ledger; one that can't be believed is set aside whole, and an empty one takes its place.
+def open_or_set_aside(path: Path, name: str, max_sessions: int = 1_000_000) -> tuple[Ledger, str]:
+    """Open a ledger; if it is corrupt or can't be opened, set it aside whole and open an empty one in its place.
 
-    The second value says why, and is empty where all is well. Every session of the one set aside is then unknown, and
-    its client is told so; nothing of it is used.
+    The second value is the reason, and empty if nothing was set aside. No data of a ledger that is set aside is used:
+    all its sessions are unknown from then on, and their clients are told so. Raises LedgerError if the empty one can't
+    be opened either.
     """
     try:
-        return Ledger(path, name, most), ""
+        return Ledger(path, name, max_sessions), ""
     except LedgerError as error:
-        aside = f"{path.name}.aside-{time.time_ns():016x}"  # noqa: TID251 - a name, and no moment
+        aside = f"{path.name}.aside-{time.time_ns():016x}"  # noqa: TID251 - only makes the name unique
         for suffix in ("", "-wal", "-shm", "-grants"):
             with contextlib.suppress(FileNotFoundError):
                 path.with_name(path.name + suffix).rename(path.with_name(aside + suffix))
-        return Ledger(path, name, most), f"{error}; set aside as {aside}"
+        return Ledger(path, name, max_sessions), f"{error}; set aside as {aside}"
--- a/scaledeal/resume/stores/owner.py
+++ b/scaledeal/resume/stores/owner.py
@@ -1,4 +1,4 @@
-"""What a store of registers offers, and the one that is in memory."""
+"""The interface of a store of registers, and the store in memory."""
 
 from __future__ import annotations
 
@@ -9,109 +9,121 @@
 from scaledeal.resume.core import register as reg
 from scaledeal.resume.core.register import Credential, Progress, Register, TransitionRefusal, TransitionResult
 
-Step = Callable[[Register | None], TransitionResult]
+Transition = Callable[[Register | None], TransitionResult]
 
 
 class OwnerError(Exception):
-    """The owner can't be asked now, or can't be believed; the text is one plain line."""
+    """The owner is unavailable or its data is corrupt; the text is one line for operators."""
 
 
 class FullError(Exception):
-    """There is no room for another session: the client's connection goes on without being resumable."""
+    """The store has no room for another session: the client's connection is served without being resumable."""
 
 
 class Owner(Protocol):
-    """Keeps registers; a grant that is returned is as durable as the store is."""
+    """Keeps registers; a grant that is returned is as durable as the store is.
+
+    Times are Unix times in ns. A call that changes registers raises OwnerError if the store is unavailable or corrupt.
+    """
 
     name: str
 
     def begin(self, session: str, holder: str, expires: int, commitment: bytes = b"") -> TransitionResult:
-        """Begin a session; raise FullError where there is no room."""
+        """Begin a session; raise FullError if there is no room."""
 
-    def claim(self, session: str, shown: Credential, holder: str, now: int, expires: int) -> TransitionResult:
-        """Hand a session to a new holder."""
+    def claim(self, session: str, credential: Credential, holder: str, now: int, expires: int) -> TransitionResult:
+        """Transfer a session to a new holder."""
 
     def record(self, session: str, epoch: int, progress: Progress, expires: int) -> TransitionResult:
-        """Take what the holder has done."""
+        """Record the holder's progress."""
 
     def answer(self, session: str, epoch: int) -> TransitionResult:
-        """Give the final answer."""
+        """Mark a session as finally answered."""
 
     def get(self, session: str) -> Register | None:
-        """Return a session's register."""
+        """Return a session's register, or None for an unknown session."""
 
     def expire(self, now: int) -> int:
-        """Forget the sessions whose time is up; return how many."""
+        """Delete the sessions that have expired and return how many they were."""
 
     def sessions(self) -> Iterator[Register]:
         """Return all registers."""
 
 
-class Steps:
-    """The four transitions, for a store that can apply one."""
+class TransitionStore:
+    """The four transitions of an owner, in terms of ``apply``, which a subclass provides."""
 
-    def apply(self, session: str, step: Step, new: bool = False) -> TransitionResult:
-        """Apply a transition to a session's register; ``new`` asks for room."""
+    def apply(self, session: str, transition: Transition, needs_room: bool = False) -> TransitionResult:
+        """Apply a transition to a session's register; ``needs_room`` is set where it may add a session."""
         raise NotImplementedError
 
     def begin(self, session: str, holder: str, expires: int, commitment: bytes = b"") -> TransitionResult:
-        """Begin a session."""
-        return self.apply(session, lambda old: reg.begin(old, session, holder, expires, commitment), True)
+        """Begin a session; raise FullError if there is no room."""
+        return self.apply(session, lambda register: reg.begin(register, session, holder, expires, commitment), True)
 
-    def claim(self, session: str, shown: Credential, holder: str, now: int, expires: int) -> TransitionResult:
-        """Hand a session to a new holder."""
-        return self.apply(session, lambda old: reg.claim(old, shown, holder, now, expires))
+    def claim(self, session: str, credential: Credential, holder: str, now: int, expires: int) -> TransitionResult:
+        """Transfer a session to a new holder."""
+        return self.apply(session, lambda register: reg.claim(register, credential, holder, now, expires))
 
     def record(self, session: str, epoch: int, progress: Progress, expires: int) -> TransitionResult:
-        """Take what the holder has done."""
-        return self.apply(session, lambda old: reg.record(old, epoch, progress, expires))
+        """Record the holder's progress."""
+        return self.apply(session, lambda register: reg.record(register, epoch, progress, expires))
 
     def answer(self, session: str, epoch: int) -> TransitionResult:
-        """Give the final answer."""
-        return self.apply(session, lambda old: reg.answer(old, epoch))
+        """Mark a session as finally answered."""
+        return self.apply(session, lambda register: reg.answer(register, epoch))
 
 
-class Memory(Steps):
-    """Registers in memory: a restart forgets all, and their clients begin anew, told so."""
+class MemoryStore(TransitionStore):
+    """Registers in memory: a restart loses them, and clients that resume are told so and begin new sessions."""
 
-    def __init__(self, name: str, most: int) -> None:
+    def __init__(self, name: str, max_sessions: int) -> None:
         self.name = name
-        self.most = most
-        self._kept: OrderedDict[str, Register] = OrderedDict()
-
-    def apply(self, session: str, step: Step, new: bool = False) -> TransitionResult:
-        """Apply a transition."""
-        before = self._kept.get(session)
-        if new and before is None and len(self._kept) >= self.most and not self._give_way():
-            raise FullError(f"{self.most} sessions are kept")
-        after = step(before)
+        self.max_sessions = max_sessions
+        self._registers: OrderedDict[str, Register] = OrderedDict()
+
+    def apply(self, session: str, transition: Transition, needs_room: bool = False) -> TransitionResult:
+        """Apply a transition; raise FullError if it adds a session and there is no room."""
+        before = self._registers.get(session)
+        if needs_room and before is None and len(self._registers) >= self.max_sessions and not self._evict_answered():
+            raise FullError(f"the store is full with {self.max_sessions} sessions")
+        after = transition(before)
         if isinstance(after, Register):
-            self._kept[session] = after
+            self._registers[session] = after
         return after
 
-    def _give_way(self) -> bool:
-        """Forget the oldest answered session: nothing can be done with it but to be refused."""
-        # Guards against a living session that is forgotten for a newer one.
-        oldest = next((session for session, kept in self._kept.items() if kept.answered), None)
+    def _evict_answered(self) -> bool:
+        """Delete the oldest answered session, which can only be refused; return False if there is none."""
+        # A session that is not answered stays: its client would lose it to a newer one.
+        oldest = next((session for session, register in self._registers.items() if register.answered), None)
         if oldest is None:
             return False
-        del self._kept[oldest]
+        del self._registers[oldest]
         return True
 
     def get(self, session: str) -> Register | None:
-        """Return a session's register."""
-        return self._kept.get(session)
+        """Return a session's register, or None for an unknown session."""
+        return self._registers.get(session)
 
     def expire(self, now: int) -> int:
-        """Forget the sessions whose time is up."""
-        late = [session for session, kept in self._kept.items() if kept.expires <= now]
-        for session in late:
-            del self._kept[session]
-        return len(late)
+        """Delete the sessions that have expired and return how many they were."""
+        expired = [session for session, register in self._registers.items() if register.expires <= now]
+        for session in expired:
+            del self._registers[session]
+        return len(expired)
 
     def sessions(self) -> Iterator[Register]:
         """Return all registers."""
-        return iter(list(self._kept.values()))
-
-
-__all__ = ["FullError", "Memory", "TransitionResult", "Owner", "OwnerError", "Step", "Steps", "TransitionRefusal"]
+        return iter(list(self._registers.values()))
+
+
+__all__ = [
+    "FullError",
+    "MemoryStore",
+    "Owner",
+    "OwnerError",
+    "Transition",
+    "TransitionRefusal",
+    "TransitionResult",
+    "TransitionStore",
+]
--- a/scaledeal/resume/wire/side.py
+++ b/scaledeal/resume/wire/side.py
@@ -14,8 +14,8 @@
 from scaledeal.quic.ids import key_file
 from scaledeal.quic.ids.keys import KeyRingError
 from scaledeal.resume.core.token import Sealer
-from scaledeal.resume.stores.ledger import Ledger, LedgerError, opened
-from scaledeal.resume.stores.owner import Memory
+from scaledeal.resume.stores.ledger import Ledger, LedgerError, open_or_set_aside
+from scaledeal.resume.stores.owner import MemoryStore
 from scaledeal.resume.wire.desk import Desk
 
 log = structlog.get_logger("scaledeal.resume")
@@ -38,10 +38,10 @@
     def start(self) -> None:
         """Open the owner; raise ConfigError where there can be none."""
         resume = self.resume
-        owner: Ledger | Memory = Memory(resume.owner, resume.max_sessions)
+        owner: Ledger | MemoryStore = MemoryStore(resume.owner, resume.max_sessions)
         if resume.ledger:
             try:
-                self.ledger, why = opened(Path(resume.ledger), resume.owner, resume.max_sessions)
+                self.ledger, why = open_or_set_aside(Path(resume.ledger), resume.owner, resume.max_sessions)
             except LedgerError as error:
                 raise ConfigError(f"resume.ledger: {error}") from None
             owner = self.ledger
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -31,8 +31,8 @@
     decode_base64url,
     encode_base64url,
 )
-from scaledeal.resume.stores.ledger import Ledger, LedgerError, opened
-from scaledeal.resume.stores.owner import FullError, Memory
+from scaledeal.resume.stores.ledger import Ledger, LedgerError, open_or_set_aside
+from scaledeal.resume.stores.owner import FullError, MemoryStore
 from scaledeal.resume.wire.desk import Desk
 
 settings.register_profile("same", derandomize=True, deadline=None)
@@ -279,7 +279,7 @@
 
 
 def test_memory_is_bounded() -> None:
-    store = Memory("m", 2)
+    store = MemoryStore("m", 2)
     for name in ("a", "b"):
         store.begin(name, "h", LATER)
     with pytest.raises(FullError):
@@ -290,7 +290,7 @@
     assert store.expire(LATER) == 2 and not list(store.sessions())
 
 
-def call(store: Memory | Ledger, session: str, word: str, number: int) -> Any:
+def call(store: MemoryStore | Ledger, session: str, word: str, number: int) -> Any:
     if word == "begin":
         return store.begin(session, "h", 5)
     if word == "claim":
@@ -314,7 +314,7 @@
     import tempfile
 
     with tempfile.TemporaryDirectory() as folder:
-        both = Memory("m", 2), Ledger(Path(folder) / "ledger", "l", 2)
+        both = MemoryStore("m", 2), Ledger(Path(folder) / "ledger", "l", 2)
         for session, word, number in calls:
             said = []
             for store in both:
@@ -419,16 +419,16 @@
     path = tmp_path / "ledger"
     ledger = Ledger(path, "l")
     ledger.begin("s", "h", LATER)
-    ledger._base.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    ledger._connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     copy = path.read_bytes()
     ledger.claim("s", shown(1, b""), "g", 0, LATER)
     ledger.close()
     for suffix in ("-wal", "-shm"):
         path.with_name(path.name + suffix).unlink(missing_ok=True)
     path.write_bytes(copy)
-    with pytest.raises(LedgerError, match="1 grants that were told are missing"):
+    with pytest.raises(LedgerError, match="1 reported grants are missing"):
         Ledger(path, "l")
-    fresh, why = opened(path, "l")
+    fresh, why = open_or_set_aside(path, "l")
     assert "set aside" in why and fresh.claim("s", shown(1, b""), "x", 0, LATER) is TransitionRefusal.UNKNOWN
     fresh.close()
     assert [each for each in tmp_path.iterdir() if "aside" in each.name]
@@ -437,9 +437,9 @@
 def test_a_batch_is_whole_or_not_at_all(tmp_path: Path) -> None:
     ledger = Ledger(tmp_path / "ledger", "l", 2)
     with pytest.raises(FullError):
-        ledger.batch([(name, lambda old, name=name: reg.begin(old, name, "h", LATER), True) for name in "abc"])
+        ledger.apply_batch([(name, lambda old, name=name: reg.begin(old, name, "h", LATER), True) for name in "abc"])
     assert not list(ledger.sessions())
-    done = ledger.batch([(name, lambda old, name=name: reg.begin(old, name, "h", LATER), True) for name in "ab"])
+    done = ledger.apply_batch([(name, lambda old, name=name: reg.begin(old, name, "h", LATER), True) for name in "ab"])
     assert all(isinstance(each, Register) for each in done)
     ledger.snapshot(tmp_path / "copy")
     ledger.close()
