--- a/scaledeal/lab/line_peers.py
+++ b/scaledeal/lab/line_peers.py
@@ -14,7 +14,7 @@
 from scaledeal.lab.loop import Loop
 from scaledeal.resume.core.lines import Inbox, LineVerdict, NumberedLine, Outbox, format_line, parse_line
 from scaledeal.resume.core.token import commitment_to, encode_base64url
-from scaledeal.resume.wire.words import told_state
+from scaledeal.resume.wire.words import encode_state
 
 
 class Habit(Enum):
@@ -128,13 +128,13 @@
         self.server.applied.append((self.session, read.number))
         self.sent += 1
         echo = format_line(NumberedLine(self.sent, self.inbox.last_applied, b"echo " + read.text))
-        self.send(b"KEEP " + told_state("|".join(self.state).encode()).encode() + self._padding(), echo)
+        self.send(b"KEEP " + encode_state("|".join(self.state).encode()).encode() + self._padding(), echo)
         if read.text == b"done":
             self.send(b"BYE")
             self.close()
 
     def _padding(self) -> bytes:
-        return b"=" * (-len(told_state("|".join(self.state).encode())) % 4)
+        return b"=" * (-len(encode_state("|".join(self.state).encode())) % 4)
 
     def ended(self) -> None:
         """Give the seat up."""
--- a/scaledeal/resume/wire/__init__.py
+++ b/scaledeal/resume/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The extension of the line protocol at a relay: it reads and writes the extension's words, and asks the owner."""
+"""The resume extension of the line protocol at a relay: parses and writes its words, and calls the owner."""
--- a/scaledeal/resume/wire/side.py
+++ b/scaledeal/resume/wire/side.py
@@ -1,4 +1,4 @@
-"""Ties resumable sessions to a relay: settings, the owner, and the time that both need."""
+"""Connects resumable sessions to a relay: settings, the owner, key reloads and the timer that expires sessions."""
 
 from __future__ import annotations
 
@@ -16,83 +16,87 @@
 from scaledeal.resume.core.token import Sealer
 from scaledeal.resume.stores.ledger import Ledger, LedgerError, open_or_set_aside
 from scaledeal.resume.stores.owner import MemoryStore
-from scaledeal.resume.wire.desk import Desk
+from scaledeal.resume.wire.sessions import SessionManager
 
 log = structlog.get_logger("scaledeal.resume")
 
-EXPIRE = 5.0  # seconds between two looks at what is past its time
+EXPIRY_INTERVAL_S = 5.0
 
 
 class ResumeSide:
-    """Resumable sessions at one relay; owns the ledger."""
+    """Resumable sessions at one relay; owns the ledger and closes it."""
 
     def __init__(self, relay: Relay, resume: Resume, read_file: Callable[[], Resume | None]) -> None:
         self.relay = relay
         self.resume = resume
         self.read_file = read_file
         self.sealer = _sealer(resume)
-        self.desk: Desk | None = None
+        self.manager: SessionManager | None = None
         self.ledger: Ledger | None = None
         self.closed = False
 
     def start(self) -> None:
-        """Open the owner; raise ConfigError where there can be none."""
+        """Open the owner and accept sessions; raise ConfigError if the ledger can't be opened."""
         resume = self.resume
         owner: Ledger | MemoryStore = MemoryStore(resume.owner, resume.max_sessions)
         if resume.ledger:
             try:
-                self.ledger, why = open_or_set_aside(Path(resume.ledger), resume.owner, resume.max_sessions)
+                self.ledger, set_aside_reason = open_or_set_aside(
+                    Path(resume.ledger), resume.owner, resume.max_sessions
+                )
             except LedgerError as error:
                 raise ConfigError(f"resume.ledger: {error}") from None
             owner = self.ledger
-            if why:
-                log.error("the ledger can't be believed: all its sessions begin anew", reason=why)
-        self.desk = Desk(owner, self.sealer, int(resume.expiry), self.relay.unix_clock.now)
-        self.relay.door.reception.resume.append(self.desk.come)
+            if set_aside_reason:
+                log.error("ledger is corrupt or can't be opened: its sessions are lost", reason=set_aside_reason)
+        self.manager = SessionManager(owner, self.sealer, int(resume.expiry), self.relay.unix_clock.now)
+        self.relay.door.reception.resume.append(self.manager.accept_open)
 
     def listed(self, event: api.Membership) -> None:
-        """Hear news of the list: nothing here hangs on it."""
+        """Ignore changes of the list of application servers: sessions do not depend on it."""
 
     def serve(self) -> None:
-        """Begin to look at what is past its time."""
+        """Start to expire sessions periodically."""
         log.info("sessions are resumable", owner=self.resume.owner, ledger=self.resume.ledger or "memory")
         self._expire()
 
     def reload(self) -> None:
-        """Read the keys again; all else waits for a restart."""
+        """Read the keys again; the block's other settings take effect only after a restart."""
         try:
             resume = self.read_file()
             if resume is None:
-                raise ConfigError("the resume block is gone: that wants a restart")
+                raise ConfigError("the resume block was removed: restart the relay to apply this")
             self.sealer = _sealer(resume)
         except (FileError, ConfigError) as error:
             log.warning("settings not taken, the old ones stay in force", reason=str(error))
             return
-        if self.desk is not None:
-            self.desk.sealer = self.sealer
-        log.info("keys of sessions taken", active=self.sealer.active)
+        if self.manager is not None:
+            self.manager.sealer = self.sealer
+        log.info("session keys reloaded", active=self.sealer.active)
 
     def lines(self) -> list[str]:
-        """Return the figures as operators read them."""
-        if self.desk is None:
+        """Return the metrics as lines of the operators' INFO answer."""
+        if self.manager is None:
             return []
-        counts = [f'relay_sessions_total{{what="{what}"}} {count}' for what, count in sorted(self.desk.counts.items())]
-        return [f"relay_sessions_live {len(self.desk.live)}", *counts]
+        counts = [
+            f'relay_sessions_total{{what="{event}"}} {count}' for event, count in sorted(self.manager.counts.items())
+        ]
+        return [f"relay_sessions_live {len(self.manager.live)}", *counts]
 
     def close(self) -> None:
-        """Give the ledger back."""
+        """Stop accepting and expiring sessions, and close the ledger."""
         self.closed = True
         self.relay.door.reception.resume.clear()
         if self.ledger is not None:
             self.ledger.close()
 
     def _expire(self) -> None:
-        if self.closed or self.desk is None:
+        if self.closed or self.manager is None:
             return
-        self.relay.reactor.callLater(EXPIRE, self._expire)
+        self.relay.reactor.callLater(EXPIRY_INTERVAL_S, self._expire)
         try:
-            self.desk.owner.expire(self.desk.clock())
-        except Exception:  # a ledger that is locked for long must not end the looking
+            self.manager.owner.expire(self.manager.clock())
+        except Exception:  # an error, such as a ledger that stays locked, must not stop the timer
             log.exception("sessions could not be expired")
 
 
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -33,7 +33,7 @@
 )
 from scaledeal.resume.stores.ledger import Ledger, LedgerError, open_or_set_aside
 from scaledeal.resume.stores.owner import FullError, MemoryStore
-from scaledeal.resume.wire.desk import Desk
+from scaledeal.resume.wire.sessions import SessionManager
 
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.load_profile("same")
@@ -454,27 +454,27 @@
     ledger.begin("s", "h", LATER, b"own")
     other = sqlite3.connect(tmp_path / "ledger", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
-    desk = Desk(ledger, Sealer(KEYS, 1), SECOND, lambda: SECOND)
+    manager = SessionManager(ledger, Sealer(KEYS, 1), SECOND, lambda: SECOND)
     with pytest.raises(LedgerError):
         ledger.claim("s", shown(1), "x", 0, LATER)
     names = {"c": "overlay", "rs": "1", "rc": encode_base64url(commitment_to(SECRET))}
-    assert desk.come(names) is None
-    token_of = sealed(desk, session="s", epoch=1, owner="l")
+    assert manager.accept_open(names) is None
+    token_of = sealed(manager, session="s", epoch=1, owner="l")
     again = {
         "c": "overlay",
         "rs": token_of,
         "op": encode_base64url(SECRET),
         "rc": encode_base64url(commitment_to(bytes(32))),
     }
-    assert desk.come(again) == b"BUSY 500"
+    assert manager.accept_open(again) == b"BUSY 500"
     other.execute("ROLLBACK")
     other.close()
     assert isinstance(ledger.claim("s", shown(1), "x", 0, LATER), Register)
     ledger.close()
 
 
-def sealed(desk: Desk, **other: Any) -> str:
-    return desk.sealer.seal(token(**other))
+def sealed(manager: SessionManager, **other: Any) -> str:
+    return manager.sealer.seal(token(**other))
 
 
 def test_the_commands_of_sessions(tmp_path: Path) -> None:
