--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -58,10 +58,10 @@
         """Return the relay's resident bytes."""
         return int(Path(f"/proc/{self.relay.process.pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
-    def client(self, offers: bool) -> LineClient:
+    def client(self, offers_resume: bool) -> LineClient:
         """Bring a client up."""
-        made = LineClient(self.loop, self.port, offers=offers)
-        self.loop.until(lambda: made.ups == 1, f"up, not {made.words}")
+        made = LineClient(self.loop, self.port, offers_resume=offers_resume)
+        self.loop.until(lambda: made.up_count == 1, f"up, not {made.unnumbered_lines}")
         return made
 
     def coming_again(self, count: int) -> dict[str, dict[str, float]]:
@@ -71,20 +71,20 @@
         times = {name: HdrHistogram(1, 10**8, 3) for name in clients}
         cpus: dict[str, list[float]] = {name: [] for name in clients}
         for name, client in [pair for _ in range(count) for pair in clients.items()]:
-            ups, before = client.ups, self.cpu()
+            ups, before = client.up_count, self.cpu()
             for server in self.servers:
-                for seat in list(server.seats):
-                    if bool(seat.session) == (name == "resume"):
-                        seat.send(b"MOVE")
-                        seat.close()
-            self.loop.until(lambda client=client: client.link is None or client.link.over)
+                for connection in list(server.connections):
+                    if bool(connection.session) == (name == "resume"):
+                        connection.send(b"MOVE")
+                        connection.close()
+            self.loop.until(lambda client=client: client.connection is None or client.connection.closed)
             began = time.perf_counter_ns()
             if name == "resume":
                 client.resume()
             else:
-                client.come()
-            self.loop.until(lambda client=client, ups=ups: client.ups > ups or client.link.over)  # type: ignore[union-attr]
-            if client.ups == ups:
+                client.connect()
+            self.loop.until(lambda client=client, ups=ups: client.up_count > ups or client.connection.closed)  # type: ignore[union-attr]
+            if client.up_count == ups:
                 continue  # refused: a relay that has seen two drains a second waits with the next
             times[name].record_value((time.perf_counter_ns() - began) // 1000)
             cpus[name].append(self.cpu() - before)
@@ -104,16 +104,16 @@
         numbered, plain = self.client(True), self.client(False)
         cost: dict[str, list[float]] = {"numbered": [], "plain": []}
         for _ in range(10):
-            before, have = self.cpu(), len(numbered.lines)
+            before, have = self.cpu(), len(numbered.server_lines)
             for each in range(count // 10):
-                numbered.say("pan")
-                self.loop.until(lambda want=have + each + 1: len(numbered.lines) >= want)
+                numbered.send_line("pan")
+                self.loop.until(lambda want=have + each + 1: len(numbered.server_lines) >= want)
             cost["numbered"].append((self.cpu() - before) / (count // 10))
-            before, words = self.cpu(), len(plain.words)
+            before, words = self.cpu(), len(plain.unnumbered_lines)
             for each in range(count // 10):
-                assert plain.link is not None
-                plain.link.send(b"pan")
-                self.loop.until(lambda want=words + each + 1: len(plain.words) >= want)
+                assert plain.connection is not None
+                plain.connection.send(b"pan")
+                self.loop.until(lambda want=words + each + 1: len(plain.unnumbered_lines) >= want)
             cost["plain"].append((self.cpu() - before) / (count // 10))
         one, other = statistics.median(cost["numbered"]), statistics.median(cost["plain"])
         return {"numbered_cpu_us": one, "plain_cpu_us": other, "ratio": one / other}
--- a/scaledeal/lab/line_peers.py
+++ b/scaledeal/lab/line_peers.py
@@ -1,7 +1,7 @@
-"""Stand-ins that speak lines and the extension of resumable sessions: a tile server and a client that count all lines.
+"""A tile server and a client that speak lines and the resume extension, and count all lines, for tests and benchmarks.
 
-The client checks for itself what it is owed: its lines applied once and in order, the server's lines once and in order,
-one final answer. It knows nothing of the relay but what comes over its socket.
+The client checks the guarantees of a session by itself: its lines are applied once and in order, the server's lines
+arrive once and in order, and there is one final answer. All it knows is what it receives from its socket.
 """
 
 from __future__ import annotations
@@ -17,259 +17,261 @@
 from scaledeal.resume.wire.words import encode_state
 
 
-class Habit(Enum):
-    """How a server behaves."""
+class Behaviour(Enum):
+    """How a server treats its connections."""
 
-    SOUND = 1
-    HUNG = 2  # reads, and says nothing
-    BUSY = 3  # turns everybody away
-    MOVES = 4  # sends each new connection away as soon as it is up
-    PLAIN = 5  # knows nothing of the extension
+    NORMAL = 1
+    HUNG = 2  # reads, and sends nothing
+    BUSY = 3  # refuses every new connection
+    MOVES = 4  # moves each new connection as soon as it is up
+    NO_RESUME = 5  # does not know the extension
 
 
-class _Link:
-    """Lines on one socket."""
+class _LineConnection:
+    """Lines over one socket; a subclass handles them."""
 
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
-        self.loop, self.sock, self.part = loop, sock, b""
+        self.loop, self.sock, self.partial_line = loop, sock, b""
         sock.setblocking(False)
         loop.read(sock, self._read)
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.sock.fileno() >= 0
 
     def send(self, *lines: bytes) -> None:
-        if self.open:
+        if self.is_open:
             try:
                 self.sock.sendall(b"".join(line + b"\r\n" for line in lines))
             except OSError:
                 self.close()
 
     def close(self) -> None:
-        if self.open:
+        if self.is_open:
             self.loop.forget(self.sock)
-            self.ended()
+            self.connection_closed()
 
     def _read(self) -> None:
         try:
             data = self.sock.recv(65_536)
         except OSError:
             data = b""
-        *lines, self.part = (self.part + data).split(b"\r\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\r\n")
         for line in lines:
-            if self.open:
-                self.came(line)
+            if self.is_open:
+                self.line_received(line)
         if not data:
             self.close()
 
-    def came(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         raise NotImplementedError
 
-    def ended(self) -> None:
-        """Hear that it is closed."""
+    def connection_closed(self) -> None:
+        """Handle the end of the connection, from either side."""
 
 
-class Seat(_Link):
+class ServerConnection(_LineConnection):
     """One connection at a server."""
 
     def __init__(self, server: LineServer, sock: socket.socket) -> None:
         super().__init__(server.loop, sock)
         self.server = server
-        self.first = b""
+        self.open_line = b""
         self.session = ""
-        self.inbox, self.sent = Inbox(), 0
-        self.state: list[str] = []  # the client's lines, in the order of their being applied
-
-    def came(self, line: bytes) -> None:
-        """Take a line of the relay's."""
-        self.server.got.append(line)
-        if not self.first:
-            self._open(line)
-        elif self.server.habit is Habit.HUNG:
+        self.inbox, self.last_sent = Inbox(), 0
+        self.applied_texts: list[str] = []  # the client's last lines in the order of their application
+
+    def line_received(self, line: bytes) -> None:
+        """Process a line of the relay."""
+        self.server.received_lines.append(line)
+        if not self.open_line:
+            self._accept(line)
+        elif self.server.behaviour is Behaviour.HUNG:
             return
         elif not self.session:
             self.send(b"echo " + line)
-        elif (read := parse_line(line)) is not None and read.number:
-            self._line(read)
+        elif (numbered := parse_line(line)) is not None and numbered.number:
+            self._apply(numbered)
 
-    def _open(self, line: bytes) -> None:
-        self.first = line
-        habit = self.server.habit
-        if habit is Habit.HUNG:
+    def _accept(self, line: bytes) -> None:
+        self.open_line = line
+        behaviour = self.server.behaviour
+        if behaviour is Behaviour.HUNG:
             return
-        if habit is Habit.BUSY:
+        if behaviour is Behaviour.BUSY:
             self.send(b"BUSY")
             self.close()
             return
-        names = dict(pair.split("=", 1) for pair in line.decode().split(" ")[3].split(","))
-        if "rs" not in names or habit is Habit.PLAIN:
+        named_values = dict(pair.split("=", 1) for pair in line.decode().split(" ")[3].split(","))
+        if "rs" not in named_values or behaviour is Behaviour.NO_RESUME:
             self.send(b"UP r-1")
             return
-        self.session = names["rs"]
-        self.inbox, self.sent = Inbox(int(names["at"])), int(names["sent"])
-        raw = names.get("state", "")
-        self.state = urlsafe_b64decode(raw + "=" * (-len(raw) % 4)).decode().split("|") if raw else []
+        self.session = named_values["rs"]
+        self.inbox, self.last_sent = Inbox(int(named_values["at"])), int(named_values["sent"])
+        state = named_values.get("state", "")
+        self.applied_texts = urlsafe_b64decode(state + "=" * (-len(state) % 4)).decode().split("|") if state else []
         self.send(b"UP r-1 rs=1")
-        if habit is Habit.MOVES:
+        if behaviour is Behaviour.MOVES:
             self.send(b"MOVE")
             self.close()
 
-    def _line(self, read: NumberedLine) -> None:
-        take = self.inbox.classify(read.number)
-        if take is LineVerdict.GAP:
+    def _apply(self, numbered: NumberedLine) -> None:
+        verdict = self.inbox.classify(numbered.number)
+        if verdict is LineVerdict.GAP:
             self.close()
             return
-        if take is LineVerdict.DUPLICATE:
+        if verdict is LineVerdict.DUPLICATE:
             self.send(b"+%d" % self.inbox.last_applied)
             return
-        self.inbox.mark_applied(read.number)
-        self.state = [*self.state[-63:], read.text.decode()]  # bounded, as a state must be
-        self.server.applied.append((self.session, read.number))
-        self.sent += 1
-        echo = format_line(NumberedLine(self.sent, self.inbox.last_applied, b"echo " + read.text))
-        self.send(b"KEEP " + encode_state("|".join(self.state).encode()).encode() + self._padding(), echo)
-        if read.text == b"done":
+        self.inbox.mark_applied(numbered.number)
+        self.applied_texts = [*self.applied_texts[-63:], numbered.text.decode()]  # a state is limited in size
+        self.server.applied.append((self.session, numbered.number))
+        self.last_sent += 1
+        echo = format_line(NumberedLine(self.last_sent, self.inbox.last_applied, b"echo " + numbered.text))
+        self.send(b"KEEP " + encode_state("|".join(self.applied_texts).encode()).encode() + self._padding(), echo)
+        if numbered.text == b"done":
             self.send(b"BYE")
             self.close()
 
     def _padding(self) -> bytes:
-        return b"=" * (-len(encode_state("|".join(self.state).encode())) % 4)
+        return b"=" * (-len(encode_state("|".join(self.applied_texts).encode())) % 4)
 
-    def ended(self) -> None:
-        """Give the seat up."""
-        self.server.seats.discard(self)
+    def connection_closed(self) -> None:
+        """Remove this connection from its server's."""
+        self.server.connections.discard(self)
 
 
 class LineServer:
     """A tile server; owns its listening socket and its connections."""
 
     def __init__(self, loop: Loop, name: str) -> None:
-        self.loop, self.name, self.habit = loop, name, Habit.SOUND
-        self.seats: set[Seat] = set()
-        self.got: list[bytes] = []
-        self.applied: list[tuple[str, int]] = []
+        self.loop, self.name, self.behaviour = loop, name, Behaviour.NORMAL
+        self.connections: set[ServerConnection] = set()
+        self.received_lines: list[bytes] = []
+        self.applied: list[tuple[str, int]] = []  # (session, line number) in the order of application
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
         loop.read(self.sock, self._accept)
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address on which it listens."""
         return f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def _accept(self) -> None:
-        self.seats.add(Seat(self, self.sock.accept()[0]))
+        self.connections.add(ServerConnection(self, self.sock.accept()[0]))
 
     def drain(self) -> None:
-        """Send all clients away at once."""
-        for seat in list(self.seats):
-            seat.send(b"MOVE")
-            seat.close()
+        """Move all clients at once."""
+        for connection in list(self.connections):
+            connection.send(b"MOVE")
+            connection.close()
 
     def stop(self) -> None:
-        """Be dead, with all connections."""
+        """Stop listening and close all connections, as a server that died."""
         self.loop.forget(self.sock)
-        for seat in list(self.seats):
-            seat.close()
+        for connection in list(self.connections):
+            connection.close()
 
 
 class LineClient:
-    """A client with a resumable session; ``link`` is its present connection."""
+    """A client with a resumable session; ``connection`` is the latest one, and may be closed."""
 
-    def __init__(self, loop: Loop, port: int, offers: bool = True, request_class: str = "overlay") -> None:
-        self.loop, self.port, self.offers, self.request_class = loop, port, offers, request_class
+    def __init__(self, loop: Loop, port: int, offers_resume: bool = True, request_class: str = "overlay") -> None:
+        self.loop, self.port, self.offers_resume, self.request_class = loop, port, offers_resume, request_class
         self.token = ""
         self.secret = b""  # opens the token
-        self.last = b""  # the last one committed to; it opens what a resume that was never answered has been granted
+        self.last_secret = b""  # last one committed to; opens the session if a resume was granted but not answered
         self.outbox, self.inbox = Outbox(), Inbox()
-        self.lines: list[bytes] = []  # the server's, as their text
-        self.byes = 0
-        self.ups = 0
-        self.words: list[bytes] = []  # every answer that is no numbered line
-        self.link: _ClientLink | None = None
-        self.come()
-
-    def come(self, token: str = "", port: int = 0) -> _ClientLink:
-        """Open a connection: a new session, or a resume with the token."""
+        self.server_lines: list[bytes] = []  # the texts of the server's numbered lines
+        self.final_answers = 0
+        self.up_count = 0
+        self.unnumbered_lines: list[bytes] = []  # of all connections
+        self.connection: _ClientConnection | None = None
+        self.connect()
+
+    def connect(self, token: str = "", port: int = 0) -> _ClientConnection:
+        """Open a connection for a new session, or for a resume if a token is given; port 0 is the port used before."""
         self.port = port or self.port
-        fresh, before = secrets.token_bytes(32), self.last
-        names = f"c={self.request_class},d=1200,g=sheet"
-        if self.offers and not token:
-            names += f",rs=1,rc={encode_base64url(commitment_to(fresh))}"
-            self.secret = fresh
+        new_secret, previous_secret = secrets.token_bytes(32), self.last_secret
+        named_values = f"c={self.request_class},d=1200,g=sheet"
+        if self.offers_resume and not token:
+            named_values += f",rs=1,rc={encode_base64url(commitment_to(new_secret))}"
+            self.secret = new_secret
         elif token:
             opened = encode_base64url(self.secret) + (
-                f".{encode_base64url(before)}" if before not in (b"", self.secret) else ""
+                f".{encode_base64url(previous_secret)}" if previous_secret not in (b"", self.secret) else ""
             )
-            names += (
-                f",again=1,rs={token},op={opened},rc={encode_base64url(commitment_to(fresh))}"
+            named_values += (
+                f",again=1,rs={token},op={opened},rc={encode_base64url(commitment_to(new_secret))}"
                 f",seen={self.inbox.last_applied}"
             )
-        self.last = fresh
-        self.link = _ClientLink(self, f"OPEN {secrets.token_hex(8)} key {names}".encode())
-        return self.link
+        self.last_secret = new_secret
+        self.connection = _ClientConnection(self, f"OPEN {secrets.token_hex(8)} key {named_values}".encode())
+        return self.connection
 
-    def resume(self, port: int = 0) -> _ClientLink:
-        """Come again with the token."""
-        assert self.token, "nothing to resume with"
-        return self.come(self.token, port)
+    def resume(self, port: int = 0) -> _ClientConnection:
+        """Open a connection that resumes the session with its token."""
+        assert self.token, "no token to resume with"
+        return self.connect(self.token, port)
 
-    def say(self, text: str) -> None:
-        """Say a line, once the connection is up, and keep it until it is acknowledged."""
+    def send_line(self, text: str) -> None:
+        """Keep a line until it is acknowledged, and send it if the connection is up."""
         number = self.outbox.append(text.encode())
-        if self.link is not None and self.link.up:
-            self.link.send(format_line(NumberedLine(number, self.inbox.last_applied, text.encode())))
-
-    def took(self, line: bytes) -> None:
-        """Take a numbered line of the server's."""
-        read = parse_line(line)
-        assert read is not None and self.outbox.acknowledge(read.acknowledged), line
-        if read.number and self.inbox.classify(read.number) is LineVerdict.APPLY:
-            self.inbox.mark_applied(read.number)
-            self.lines.append(read.text)
-        elif read.number:
-            assert self.inbox.classify(read.number) is not LineVerdict.GAP, f"a line is missing before {line!r}"
-
-    def heard_up(self, link: _ClientLink, line: bytes) -> None:
-        """Take an UP, and say again what is not applied yet."""
-        names = dict(word.split("=", 1) for word in line.decode().split(" ")[2:])
-        link.up = True
-        self.ups += 1
-        if "rs" in names:
-            self.renew(names["rs"])
-            applied = int(names["at"])
+        if self.connection is not None and self.connection.up:
+            self.connection.send(format_line(NumberedLine(number, self.inbox.last_applied, text.encode())))
+
+    def handle_numbered(self, line: bytes) -> None:
+        """Process a numbered line of the server; fail if one before it is missing."""
+        numbered = parse_line(line)
+        assert numbered is not None and self.outbox.acknowledge(numbered.acknowledged), line
+        if numbered.number and self.inbox.classify(numbered.number) is LineVerdict.APPLY:
+            self.inbox.mark_applied(numbered.number)
+            self.server_lines.append(numbered.text)
+        elif numbered.number:
+            assert self.inbox.classify(numbered.number) is not LineVerdict.GAP, f"a line is missing before {line!r}"
+
+    def handle_up(self, connection: _ClientConnection, line: bytes) -> None:
+        """Process an UP: store its token, and send again the lines that are not applied yet."""
+        named_values = dict(word.split("=", 1) for word in line.decode().split(" ")[2:])
+        connection.up = True
+        self.up_count += 1
+        if "rs" in named_values:
+            self.store_token(named_values["rs"])
+            applied = int(named_values["at"])
             assert self.outbox.acknowledge(applied)
-            again = self.outbox.lines_after(applied)
-            assert again is not None, "lines that are neither applied nor kept"
-            link.send(*(format_line(NumberedLine(number, self.inbox.last_applied, text)) for number, text in again))
+            unapplied = self.outbox.lines_after(applied)
+            assert unapplied is not None, "lines that are neither applied nor kept"
+            connection.send(
+                *(format_line(NumberedLine(number, self.inbox.last_applied, text)) for number, text in unapplied)
+            )
 
-    def renew(self, token: str) -> None:
-        """Take a new token: what was last committed to opens it."""
-        self.token, self.secret = token, self.last
+    def store_token(self, token: str) -> None:
+        """Store a new token, which the secret that was last committed to opens."""
+        self.token, self.secret = token, self.last_secret
 
 
-class _ClientLink(_Link):
-    """One connection of a client's."""
+class _ClientConnection(_LineConnection):
+    """One connection of a client."""
 
-    def __init__(self, client: LineClient, first: bytes) -> None:
+    def __init__(self, client: LineClient, open_line: bytes) -> None:
         super().__init__(client.loop, socket.create_connection(("127.0.0.1", client.port)))
-        self.client, self.up, self.over, self.words = client, False, False, list[bytes]()
-        self.send(first)
+        self.client, self.up, self.closed, self.unnumbered_lines = client, False, False, list[bytes]()
+        self.send(open_line)
 
-    def came(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         word = line.partition(b" ")[0]
         if line[:1] in (b"#", b"+"):
-            self.client.took(line)
+            self.client.handle_numbered(line)
             return
-        self.words.append(line)
-        self.client.words.append(line)
+        self.unnumbered_lines.append(line)
+        self.client.unnumbered_lines.append(line)
         if word == b"UP":
-            self.client.heard_up(self, line)
+            self.client.handle_up(self, line)
         elif word == b"BYE":
-            self.client.byes += 1
+            self.client.final_answers += 1
         elif b" rs=" in line:
-            self.client.renew(line.partition(b" rs=")[2].decode())
+            self.client.store_token(line.partition(b" rs=")[2].decode())
 
-    def ended(self) -> None:
-        self.over = True
+    def connection_closed(self) -> None:
+        self.closed = True
--- a/tests/test_resume_flows.py
+++ b/tests/test_resume_flows.py
@@ -10,7 +10,7 @@
 import pytest
 
 from scaledeal.lab.discovery import Discovery
-from scaledeal.lab.line_peers import Habit, LineClient, LineServer
+from scaledeal.lab.line_peers import Behaviour, LineClient, LineServer
 from scaledeal.lab.loop import Loop
 from scaledeal.lab.relay import RelayProcess
 from scaledeal.quic.ids import key_file
@@ -47,7 +47,7 @@
 
     def client(self, relay: RelayProcess, **more: Any) -> LineClient:
         made = LineClient(self.loop, self.port(relay), **more)
-        self.until(lambda: made.ups == 1, f"up, not {made.words}")
+        self.until(lambda: made.up_count == 1, f"up, not {made.unnumbered_lines}")
         return made
 
     def until(self, holds: Any, what: str = "") -> None:
@@ -55,17 +55,20 @@
 
     def home(self) -> LineServer:
         """Return the server that holds the one connection there is."""
-        return next(server for server in self.servers.values() if server.seats)
+        return next(server for server in self.servers.values() if server.connections)
 
     def echoed(self, client: LineClient, count: int) -> None:
-        self.until(lambda: len(client.lines) >= count, f"{count} lines, not {len(client.lines)}, {client.words}")
+        self.until(
+            lambda: len(client.server_lines) >= count,
+            f"{count} lines, not {len(client.server_lines)}, {client.unnumbered_lines}",
+        )
 
     def ends_well(self, client: LineClient, *said: str) -> None:
         """Say the last line, and hold what came back against what was said."""
-        client.say("done")
-        self.until(lambda: client.byes, f"the final answer, not {client.words[-3:]}")
-        assert client.lines == [f"echo {each}".encode() for each in (*said, "done")]
-        assert client.byes == 1 and not client.outbox.lines
+        client.send_line("done")
+        self.until(lambda: client.final_answers, f"the final answer, not {client.unnumbered_lines[-3:]}")
+        assert client.server_lines == [f"echo {each}".encode() for each in (*said, "done")]
+        assert client.final_answers == 1 and not client.outbox.lines
         ledger = Ledger(self.ledger, "here")
         assert [each.answered for each in ledger.sessions()] == [True] * len(list(ledger.sessions()))
         ledger.close()
@@ -92,15 +95,15 @@
     world.add("s-0", "s-1")
     client = world.client(world.relay(), request_class=request_class)
     for text in ("one", "two"):
-        client.say(text)
+        client.send_line(text)
     world.echoed(client, 2)
     home = world.home()
-    home.habit = Habit.BUSY
-    client.say("three")  # in flight when the server leaves
+    home.behaviour = Behaviour.BUSY
+    client.send_line("three")  # in flight when the server leaves
     home.drain()
-    assert client.link is not None
-    world.until(lambda: client.link.over, "the move")  # type: ignore[union-attr]
-    client.say("four")
+    assert client.connection is not None
+    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    client.send_line("four")
     client.resume()
     world.echoed(client, 4)
     assert world.home() is not home
@@ -111,19 +114,19 @@
     """A session that is moved twice in a row must not begin anew, nor repeat what the first had applied."""
     world.add("s-0", "s-1")
     client = world.client(world.relay())
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     first = world.home()
     other = next(server for server in world.servers.values() if server is not first)
-    first.habit, other.habit = Habit.BUSY, Habit.MOVES
+    first.behaviour, other.behaviour = Behaviour.BUSY, Behaviour.MOVES
     first.drain()
-    world.until(lambda: client.link.over, "the move")  # type: ignore[union-attr]
-    link = client.resume()
-    world.until(lambda: link.over, "the second move")
-    assert [line.split(b" ")[0] for line in link.words] == [b"UP", b"MOVE"]
-    other.habit = Habit.SOUND
+    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    connection = client.resume()
+    world.until(lambda: connection.closed, "the second move")
+    assert [line.split(b" ")[0] for line in connection.unnumbered_lines] == [b"UP", b"MOVE"]
+    other.behaviour = Behaviour.NORMAL
     client.resume()
-    client.say("two")
+    client.send_line("two")
     world.echoed(client, 2)
     world.ends_well(client, "one", "two")
 
@@ -133,11 +136,11 @@
     world.add("s-0", "s-1")
     relay = world.relay()
     client = world.client(relay)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     relay.kill()
-    world.until(lambda: client.link.over, "the break")  # type: ignore[union-attr]
-    client.say("two")
+    world.until(lambda: client.connection.closed, "the break")  # type: ignore[union-attr]
+    client.send_line("two")
     client.resume(world.port(world.relay()))
     world.echoed(client, 2)
     world.ends_well(client, "one", "two")
@@ -148,13 +151,13 @@
     world.add("s-0")
     one, two = world.relay("n0"), world.relay("n1")
     client = world.client(one)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     one.terminate()
-    world.until(lambda: client.link.over, "the move")  # type: ignore[union-attr]
-    assert client.words[-1].startswith(b"MOVE rs=")
+    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    assert client.unnumbered_lines[-1].startswith(b"MOVE rs=")
     client.resume(world.port(two))
-    client.say("two")
+    client.send_line("two")
     world.echoed(client, 2)
     world.ends_well(client, "one", "two")
 
@@ -164,17 +167,17 @@
     world.add("s-0", "s-1")
     one, two = world.relay("n0"), world.relay("n1")
     client = world.client(one)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
-    token, secret, last = client.token, client.secret, client.last
+    token, secret, last = client.token, client.secret, client.last_secret
     first = client.resume(world.port(one))
-    client.token, client.secret, client.last = token, secret, last
+    client.token, client.secret, client.last_secret = token, secret, last
     second = client.resume(world.port(two))
-    world.until(lambda: first.words and second.words, "both answers")
-    words = sorted(link.words[0].split(b" ")[0] for link in (first, second))
+    world.until(lambda: first.unnumbered_lines and second.unnumbered_lines, "both answers")
+    words = sorted(connection.unnumbered_lines[0].split(b" ")[0] for connection in (first, second))
     assert words == [b"ERR", b"UP"]
-    refused = first if first.words[0].startswith(b"ERR") else second
-    assert refused.words == [b"ERR RS stale"]
+    refused = first if first.unnumbered_lines[0].startswith(b"ERR") else second
+    assert refused.unnumbered_lines == [b"ERR RS stale"]
 
 
 def test_a_resume_while_the_old_connection_stands(world: World) -> None:
@@ -182,13 +185,13 @@
     world.add("s-0")
     relay = world.relay()
     client = world.client(relay)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
-    old = client.link
+    old = client.connection
     assert old is not None
-    client.say("two")  # to the old connection, whose answer may or may not come before the resume
+    client.send_line("two")  # to the old connection, whose answer may or may not come before the resume
     client.resume()
-    world.until(lambda: old.over, "the old connection's end")
+    world.until(lambda: old.closed, "the old connection's end")
     world.echoed(client, 2)
     assert relay.figure('relay_sessions_total{what="fenced"}') == 1
     world.ends_well(client, "one", "two")
@@ -199,14 +202,14 @@
     world.add("s-0")
     old = world.relay()
     client = world.client(old)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     new = world.relay()
     port = new.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0]
-    client.say("two")
+    client.send_line("two")
     old.terminate()
-    world.until(lambda: client.link.over, "the move")  # type: ignore[union-attr]
-    assert client.words[-1].startswith(b"MOVE rs=")
+    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    assert client.unnumbered_lines[-1].startswith(b"MOVE rs=")
     client.resume(int(port))
     world.echoed(client, 2)
     world.ends_well(client, "one", "two")
@@ -218,31 +221,37 @@
     relay = world.relay()
     clients = [world.client(relay) for _ in range(40)]
     for client in clients:
-        client.say("one")
+        client.send_line("one")
     for client in clients:
         world.echoed(client, 1)
-    home = max(world.servers.values(), key=lambda server: len(server.seats))
-    home.habit = Habit.BUSY
+    home = max(world.servers.values(), key=lambda server: len(server.connections))
+    home.behaviour = Behaviour.BUSY
     home.drain()
-    world.until(lambda: home.seats == set() and sum(c.link.over for c in clients if c.link) >= 1, "the moves")
+    world.until(
+        lambda: home.connections == set() and sum(each.connection.closed for each in clients if each.connection) >= 1,
+        "the moves",
+    )
     chance = random.Random(3)
     due = {client: world.loop.now() + chance.uniform(0.091, 0.91) for client in clients}
 
     def all_on() -> bool:
         for client, moment in due.items():
-            over = client.link is not None and client.link.over
+            over = client.connection is not None and client.connection.closed
             if over and world.loop.now() >= moment:
                 due[client] = world.loop.now() + chance.uniform(0.091, 0.91)
                 client.resume()
-        return all(client.link is not None and client.link.up and not client.link.over for client in clients)
+        return all(
+            client.connection is not None and client.connection.up and not client.connection.closed
+            for client in clients
+        )
 
     world.until(all_on, "everybody up again")
     for client in clients:
-        client.say("two")
+        client.send_line("two")
     for client in clients:
         world.echoed(client, 2)
-        assert client.lines == [b"echo one", b"echo two"]
-    assert not [words for client in clients for words in client.words if words.startswith(b"ERR RS")]
+        assert client.server_lines == [b"echo one", b"echo two"]
+    assert not [words for client in clients for words in client.unnumbered_lines if words.startswith(b"ERR RS")]
 
 
 @pytest.mark.parametrize("dead", [False, True])
@@ -250,14 +259,14 @@
     """Nothing can be asked of it: the register knows what it has acknowledged."""
     world.add("s-0", "s-1")
     client = world.client(world.relay())
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     home = world.home()
     if dead:
         home.stop()
-        world.until(lambda: client.link.over, "the break")  # type: ignore[union-attr]
-    home.habit = Habit.HUNG
-    client.say("two")
+        world.until(lambda: client.connection.closed, "the break")  # type: ignore[union-attr]
+    home.behaviour = Behaviour.HUNG
+    client.send_line("two")
     client.resume()
     world.echoed(client, 2)
     world.ends_well(client, "one", "two")
@@ -273,15 +282,15 @@
     relay.hang_up()
     relay.until_told("session keys reloaded")
     client.resume()
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     key_file.write(world.keys, ring.retired(0))
     relay.hang_up()
     relay.until_told("session keys reloaded", 2)
-    assert other.resume().words == []
-    world.until(lambda: other.words[-1] == b"ERR RS key", "the reason")
+    assert other.resume().unnumbered_lines == []
+    world.until(lambda: other.unnumbered_lines[-1] == b"ERR RS key", "the reason")
     client.resume()
-    client.say("two")
+    client.send_line("two")
     world.echoed(client, 2)
 
 
@@ -290,20 +299,20 @@
     world.add("s-0")
     relay = world.relay()
     client, thief = world.client(relay), world.client(relay)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     thief.token = client.token
-    link = thief.resume()
-    world.until(lambda: link.words, "the refusal")
-    assert link.words == [b"ERR RS holder"]
-    seen = (client.token, client.secret, client.last)
+    connection = thief.resume()
+    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    assert connection.unnumbered_lines == [b"ERR RS holder"]
+    seen = (client.token, client.secret, client.last_secret)
     client.resume()
-    world.until(lambda: client.ups == 2, "the resume")
-    thief.token, thief.secret, thief.last = seen
-    link = thief.resume()
-    world.until(lambda: link.words, "the refusal")
-    assert link.words == [b"ERR RS stale"]
-    client.say("two")
+    world.until(lambda: client.up_count == 2, "the resume")
+    thief.token, thief.secret, thief.last_secret = seen
+    connection = thief.resume()
+    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    assert connection.unnumbered_lines == [b"ERR RS stale"]
+    client.send_line("two")
     world.echoed(client, 2)
 
 
@@ -312,22 +321,24 @@
     world.add("s-0")
     relay = world.relay()
     client = world.client(relay)
-    client.say("one")
+    client.send_line("one")
     world.echoed(client, 1)
     home = world.home()
-    home.habit = Habit.BUSY
+    home.behaviour = Behaviour.BUSY
     home.drain()
-    world.until(lambda: client.link.over, "the move")  # type: ignore[union-attr]
-    link = client.resume()
-    world.until(lambda: link.over, "the refusal")
-    assert link.words[0].split(b" ")[0] in (b"BUSY", b"ERR") and b" rs=" in link.words[0]
-    home.habit = Habit.SOUND
-    client.say("two")
+    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    connection = client.resume()
+    world.until(lambda: connection.closed, "the refusal")
+    assert (
+        connection.unnumbered_lines[0].split(b" ")[0] in (b"BUSY", b"ERR") and b" rs=" in connection.unnumbered_lines[0]
+    )
+    home.behaviour = Behaviour.NORMAL
+    client.send_line("two")
 
     def again() -> bool:
-        if client.link is not None and client.link.over and not client.byes:
+        if client.connection is not None and client.connection.closed and not client.final_answers:
             client.resume()
-        return len(client.lines) >= 2
+        return len(client.server_lines) >= 2
 
     world.until(again, "a server that is trusted again")
     world.ends_well(client, "one", "two")
@@ -337,31 +348,31 @@
     """A session that has its answer is over: whoever resumes it is told so, and gets no other."""
     world.add("s-0", "s-1")
     client = world.client(world.relay())
-    token, secret, last = client.token, client.secret, client.last
+    token, secret, last = client.token, client.secret, client.last_secret
     world.ends_well(client)
-    client.token, client.secret, client.last = token, secret, last
-    link = client.resume()
-    world.until(lambda: link.words, "the refusal")
-    assert link.words == [b"ERR RS answered"] and client.byes == 1
+    client.token, client.secret, client.last_secret = token, secret, last
+    connection = client.resume()
+    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    assert connection.unnumbered_lines == [b"ERR RS answered"] and client.final_answers == 1
 
 
 def test_who_does_not_offer_it_sees_todays_bytes(world: World) -> None:
     """Plain clients, and plain servers, must not meet a word of the extension."""
     world.add("s-0")
     relay = world.relay()
-    plain = world.client(relay, offers=False)
-    assert plain.words == [b"UP r-1"]
+    plain = world.client(relay, offers_resume=False)
+    assert plain.unnumbered_lines == [b"UP r-1"]
     server = world.servers["s-0"]
-    assert b"rs=" not in server.got[0] and b"rc=" not in server.got[0]
-    server.habit = Habit.PLAIN
+    assert b"rs=" not in server.received_lines[0] and b"rc=" not in server.received_lines[0]
+    server.behaviour = Behaviour.NO_RESUME
     client = world.client(relay)
-    assert client.words == [b"UP r-1"] and not client.token
-    assert client.link is not None
-    client.link.send(b"a line as ever")
-    world.until(lambda: client.words[-1] == b"echo a line as ever", "the echo")
+    assert client.unnumbered_lines == [b"UP r-1"] and not client.token
+    assert client.connection is not None
+    client.connection.send(b"a line as ever")
+    world.until(lambda: client.unnumbered_lines[-1] == b"echo a line as ever", "the echo")
     server.drain()
-    world.until(lambda: client.link.over, "the move")  # type: ignore[union-attr]
-    assert client.words[-1] == b"MOVE"
+    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    assert client.unnumbered_lines[-1] == b"MOVE"
 
 
 @pytest.mark.parametrize("names", ["rs=1", "rs=1,rc=short", "rs=AAAA,op=x,rc=" + "A" * 43 + ",seen=-1"])
@@ -388,6 +399,6 @@
     again = world.relay()
     again.until_told("ledger is corrupt or can't be opened")
     client.port = world.port(again)
-    link = client.resume()
-    world.until(lambda: link.words, "the refusal")
-    assert link.words == [b"ERR RS lost"]
+    connection = client.resume()
+    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    assert connection.unnumbered_lines == [b"ERR RS lost"]
