--- a/tests/test_resume_flows.py
+++ b/tests/test_resume_flows.py
@@ -1,4 +1,4 @@
-"""Resumable sessions through relay processes, with stand-ins that count every line; each test names its failure."""
+"""Resumable sessions through relay processes, with peers that count all lines; each test states its failure."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from scaledeal.resume.stores.ledger import Ledger
 
 
-class World:
-    """A discovery, servers, relays that share a ledger, and clients."""
+class SessionTestbed:
+    """Discovery, application servers, relays that share a ledger, and clients."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.loop = folder, Loop()
@@ -30,44 +30,44 @@
         self.servers: dict[str, LineServer] = {}
         self.relays: list[RelayProcess] = []
 
-    def add(self, *names: str) -> None:
+    def add_servers(self, *names: str) -> None:
         for name in names:
             self.servers[name] = LineServer(self.loop, name)
             self.discovery.put(name, self.servers[name].address)
 
-    def relay(self, name: str = "n0") -> RelayProcess:
+    def start_relay(self, name: str = "n0") -> RelayProcess:
         started = RelayProcess(self.loop, self.folder, self.discovery.address, self.file, name)
         self.relays.append(started)
         started.until_told("sessions are resumable")
-        self.until(lambda: started.figure("relay_registry_entries") >= len(self.servers), "the list")
+        self.until(lambda: started.figure("relay_registry_entries") >= len(self.servers), "the list of servers")
         return started
 
     def port(self, relay: RelayProcess) -> int:
         return int(relay.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0])
 
-    def client(self, relay: RelayProcess, **more: Any) -> LineClient:
-        made = LineClient(self.loop, self.port(relay), **more)
-        self.until(lambda: made.up_count == 1, f"up, not {made.unnumbered_lines}")
-        return made
+    def connect_client(self, relay: RelayProcess, **options: Any) -> LineClient:
+        client = LineClient(self.loop, self.port(relay), **options)
+        self.until(lambda: client.up_count == 1, f"up, not {client.unnumbered_lines}")
+        return client
 
-    def until(self, holds: Any, what: str = "") -> None:
-        self.loop.until(holds, what)
+    def until(self, condition: Any, description: str = "") -> None:
+        self.loop.until(condition, description)
 
-    def home(self) -> LineServer:
-        """Return the server that holds the one connection there is."""
+    def connected_server(self) -> LineServer:
+        """Return the first server that has a connection."""
         return next(server for server in self.servers.values() if server.connections)
 
-    def echoed(self, client: LineClient, count: int) -> None:
+    def wait_for_echoes(self, client: LineClient, count: int) -> None:
         self.until(
             lambda: len(client.server_lines) >= count,
             f"{count} lines, not {len(client.server_lines)}, {client.unnumbered_lines}",
         )
 
-    def ends_well(self, client: LineClient, *said: str) -> None:
-        """Say the last line, and hold what came back against what was said."""
+    def check_ending(self, client: LineClient, *sent: str) -> None:
+        """Send the last line; check that every sent line was echoed once, in order, with one final answer."""
         client.send_line("done")
         self.until(lambda: client.final_answers, f"the final answer, not {client.unnumbered_lines[-3:]}")
-        assert client.server_lines == [f"echo {each}".encode() for each in (*said, "done")]
+        assert client.server_lines == [f"echo {each}".encode() for each in (*sent, "done")]
         assert client.final_answers == 1 and not client.outbox.lines
         ledger = Ledger(self.ledger, "here")
         assert [each.answered for each in ledger.sessions()] == [True] * len(list(ledger.sessions()))
@@ -78,327 +78,330 @@
             if not relay.ended():
                 relay.kill()
         self.loop.close()
-        told = [line for relay in self.relays for line in relay.log if "Traceback" in line]
-        assert told == [], "\n".join(told)
+        tracebacks = [line for relay in self.relays for line in relay.log if "Traceback" in line]
+        assert tracebacks == [], "\n".join(tracebacks)
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    made = World(tmp_path)
-    yield made
-    made.close()
+def testbed(tmp_path: Path) -> Iterator[SessionTestbed]:
+    created = SessionTestbed(tmp_path)
+    yield created
+    created.close()
 
 
 @pytest.mark.parametrize("request_class", ["compare", "overlay"])
-def test_a_server_drains_in_mid_session(world: World, request_class: str) -> None:
-    """Without a resume the client begins anew, and its place and annotations are gone."""
-    world.add("s-0", "s-1")
-    client = world.client(world.relay(), request_class=request_class)
+def test_a_session_continues_after_its_server_drains(testbed: SessionTestbed, request_class: str) -> None:
+    """Without a resume the client would begin a new session and lose its position and annotations."""
+    testbed.add_servers("s-0", "s-1")
+    client = testbed.connect_client(testbed.start_relay(), request_class=request_class)
     for text in ("one", "two"):
         client.send_line(text)
-    world.echoed(client, 2)
-    home = world.home()
-    home.behaviour = Behaviour.BUSY
+    testbed.wait_for_echoes(client, 2)
+    first_server = testbed.connected_server()
+    first_server.behaviour = Behaviour.BUSY
     client.send_line("three")  # in flight when the server leaves
-    home.drain()
+    first_server.drain()
     assert client.connection is not None
-    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
     client.send_line("four")
     client.resume()
-    world.echoed(client, 4)
-    assert world.home() is not home
-    world.ends_well(client, "one", "two", "three", "four")
+    testbed.wait_for_echoes(client, 4)
+    assert testbed.connected_server() is not first_server
+    testbed.check_ending(client, "one", "two", "three", "four")
 
 
-def test_the_second_server_drains_during_the_resume(world: World) -> None:
-    """A session that is moved twice in a row must not begin anew, nor repeat what the first had applied."""
-    world.add("s-0", "s-1")
-    client = world.client(world.relay())
+def test_a_session_continues_if_the_second_server_drains_during_the_resume(testbed: SessionTestbed) -> None:
+    """A session that is moved twice in a row would begin anew, or apply again what the first server had applied."""
+    testbed.add_servers("s-0", "s-1")
+    client = testbed.connect_client(testbed.start_relay())
     client.send_line("one")
-    world.echoed(client, 1)
-    first = world.home()
-    other = next(server for server in world.servers.values() if server is not first)
+    testbed.wait_for_echoes(client, 1)
+    first = testbed.connected_server()
+    other = next(server for server in testbed.servers.values() if server is not first)
     first.behaviour, other.behaviour = Behaviour.BUSY, Behaviour.MOVES
     first.drain()
-    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
     connection = client.resume()
-    world.until(lambda: connection.closed, "the second move")
+    testbed.until(lambda: connection.closed, "the second move")
     assert [line.split(b" ")[0] for line in connection.unnumbered_lines] == [b"UP", b"MOVE"]
     other.behaviour = Behaviour.NORMAL
     client.resume()
     client.send_line("two")
-    world.echoed(client, 2)
-    world.ends_well(client, "one", "two")
+    testbed.wait_for_echoes(client, 2)
+    testbed.check_ending(client, "one", "two")
 
 
-def test_the_relay_is_killed(world: World) -> None:
-    """A fence, and what was acknowledged, must outlive the process that told them."""
-    world.add("s-0", "s-1")
-    relay = world.relay()
-    client = world.client(relay)
+def test_a_session_continues_after_its_relay_is_killed(testbed: SessionTestbed) -> None:
+    """A fence and acknowledged lines would be lost if they did not outlive the process that reported them."""
+    testbed.add_servers("s-0", "s-1")
+    relay = testbed.start_relay()
+    client = testbed.connect_client(relay)
     client.send_line("one")
-    world.echoed(client, 1)
+    testbed.wait_for_echoes(client, 1)
     relay.kill()
-    world.until(lambda: client.connection.closed, "the break")  # type: ignore[union-attr]
+    testbed.until(lambda: client.connection.closed, "the break")  # type: ignore[union-attr]
     client.send_line("two")
-    client.resume(world.port(world.relay()))
-    world.echoed(client, 2)
-    world.ends_well(client, "one", "two")
+    client.resume(testbed.port(testbed.start_relay()))
+    testbed.wait_for_echoes(client, 2)
+    testbed.check_ending(client, "one", "two")
 
 
-def test_sigterm_and_a_second_relay(world: World) -> None:
-    """A relay that goes moves its clients with their tokens: the other one, with the same ledger, goes on."""
-    world.add("s-0")
-    one, two = world.relay("n0"), world.relay("n1")
-    client = world.client(one)
+def test_a_session_continues_at_a_second_relay_after_sigterm(testbed: SessionTestbed) -> None:
+    """A relay that ends moves its clients with their tokens, so that another with the same ledger can continue."""
+    testbed.add_servers("s-0")
+    one, two = testbed.start_relay("n0"), testbed.start_relay("n1")
+    client = testbed.connect_client(one)
     client.send_line("one")
-    world.echoed(client, 1)
+    testbed.wait_for_echoes(client, 1)
     one.terminate()
-    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
     assert client.unnumbered_lines[-1].startswith(b"MOVE rs=")
-    client.resume(world.port(two))
+    client.resume(testbed.port(two))
     client.send_line("two")
-    world.echoed(client, 2)
-    world.ends_well(client, "one", "two")
+    testbed.wait_for_echoes(client, 2)
+    testbed.check_ending(client, "one", "two")
 
 
-def test_one_token_at_two_relays_at_once(world: World) -> None:
-    """Both relays go on, and the session is answered twice: one of them has to be told that it is stale."""
-    world.add("s-0", "s-1")
-    one, two = world.relay("n0"), world.relay("n1")
-    client = world.client(one)
+def test_one_of_two_relays_refuses_a_token_that_both_receive(testbed: SessionTestbed) -> None:
+    """If both relays continued the session, it would be answered twice: one of them must refuse the token as stale."""
+    testbed.add_servers("s-0", "s-1")
+    one, two = testbed.start_relay("n0"), testbed.start_relay("n1")
+    client = testbed.connect_client(one)
     client.send_line("one")
-    world.echoed(client, 1)
+    testbed.wait_for_echoes(client, 1)
     token, secret, last = client.token, client.secret, client.last_secret
-    first = client.resume(world.port(one))
+    first = client.resume(testbed.port(one))
     client.token, client.secret, client.last_secret = token, secret, last
-    second = client.resume(world.port(two))
-    world.until(lambda: first.unnumbered_lines and second.unnumbered_lines, "both answers")
+    second = client.resume(testbed.port(two))
+    testbed.until(lambda: first.unnumbered_lines and second.unnumbered_lines, "both answers")
     words = sorted(connection.unnumbered_lines[0].split(b" ")[0] for connection in (first, second))
     assert words == [b"ERR", b"UP"]
     refused = first if first.unnumbered_lines[0].startswith(b"ERR") else second
     assert refused.unnumbered_lines == [b"ERR RS stale"]
 
 
-def test_a_resume_while_the_old_connection_stands(world: World) -> None:
-    """The old server's late words must not count, and its connection must not stand on."""
-    world.add("s-0")
-    relay = world.relay()
-    client = world.client(relay)
+def test_a_resume_fences_the_connection_that_is_still_open(testbed: SessionTestbed) -> None:
+    """Lines of the old server that arrive after the resume would be applied, and its connection would stay open."""
+    testbed.add_servers("s-0")
+    relay = testbed.start_relay()
+    client = testbed.connect_client(relay)
     client.send_line("one")
-    world.echoed(client, 1)
+    testbed.wait_for_echoes(client, 1)
     old = client.connection
     assert old is not None
     client.send_line("two")  # to the old connection, whose answer may or may not come before the resume
     client.resume()
-    world.until(lambda: old.closed, "the old connection's end")
-    world.echoed(client, 2)
+    testbed.until(lambda: old.closed, "the old connection's end")
+    testbed.wait_for_echoes(client, 2)
     assert relay.figure('relay_sessions_total{what="fenced"}') == 1
-    world.ends_well(client, "one", "two")
+    testbed.check_ending(client, "one", "two")
 
 
-def test_a_new_version_takes_over(world: World) -> None:
-    """Two processes of one relay share the ledger: the old one moves its sessions, the new one goes on with them."""
-    world.add("s-0")
-    old = world.relay()
-    client = world.client(old)
+def test_a_session_continues_at_the_process_that_replaces_its_relay(testbed: SessionTestbed) -> None:
+    """Two processes of one relay share the ledger: the old one moves its sessions, and the new one continues them."""
+    testbed.add_servers("s-0")
+    old = testbed.start_relay()
+    client = testbed.connect_client(old)
     client.send_line("one")
-    world.echoed(client, 1)
-    new = world.relay()
+    testbed.wait_for_echoes(client, 1)
+    new = testbed.start_relay()
     port = new.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0]
     client.send_line("two")
     old.terminate()
-    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
     assert client.unnumbered_lines[-1].startswith(b"MOVE rs=")
     client.resume(int(port))
-    world.echoed(client, 2)
-    world.ends_well(client, "one", "two")
+    testbed.wait_for_echoes(client, 2)
+    testbed.check_ending(client, "one", "two")
 
 
-def test_a_crowd_of_resumes(world: World) -> None:
-    """A drain sends everybody away at once: each comes again within a second, and none is lost or begun anew."""
-    world.add("s-0", "s-1", "s-2")
-    relay = world.relay()
-    clients = [world.client(relay) for _ in range(40)]
+def test_all_clients_of_a_drained_server_resume(testbed: SessionTestbed) -> None:
+    """A drain moves all clients at once: each resumes within a second, and no session is lost or begun anew."""
+    testbed.add_servers("s-0", "s-1", "s-2")
+    relay = testbed.start_relay()
+    clients = [testbed.connect_client(relay) for _ in range(40)]
     for client in clients:
         client.send_line("one")
     for client in clients:
-        world.echoed(client, 1)
-    home = max(world.servers.values(), key=lambda server: len(server.connections))
-    home.behaviour = Behaviour.BUSY
-    home.drain()
-    world.until(
-        lambda: home.connections == set() and sum(each.connection.closed for each in clients if each.connection) >= 1,
+        testbed.wait_for_echoes(client, 1)
+    first_server = max(testbed.servers.values(), key=lambda server: len(server.connections))
+    first_server.behaviour = Behaviour.BUSY
+    first_server.drain()
+    testbed.until(
+        lambda: (
+            first_server.connections == set()
+            and sum(each.connection.closed for each in clients if each.connection) >= 1
+        ),
         "the moves",
     )
-    chance = random.Random(3)
-    due = {client: world.loop.now() + chance.uniform(0.091, 0.91) for client in clients}
-
-    def all_on() -> bool:
-        for client, moment in due.items():
-            over = client.connection is not None and client.connection.closed
-            if over and world.loop.now() >= moment:
-                due[client] = world.loop.now() + chance.uniform(0.091, 0.91)
+    rng = random.Random(3)
+    resume_at = {client: testbed.loop.now() + rng.uniform(0.091, 0.91) for client in clients}
+
+    def all_up() -> bool:
+        for client, moment in resume_at.items():
+            closed = client.connection is not None and client.connection.closed
+            if closed and testbed.loop.now() >= moment:
+                resume_at[client] = testbed.loop.now() + rng.uniform(0.091, 0.91)
                 client.resume()
         return all(
             client.connection is not None and client.connection.up and not client.connection.closed
             for client in clients
         )
 
-    world.until(all_on, "everybody up again")
+    testbed.until(all_up, "all clients up again")
     for client in clients:
         client.send_line("two")
     for client in clients:
-        world.echoed(client, 2)
+        testbed.wait_for_echoes(client, 2)
         assert client.server_lines == [b"echo one", b"echo two"]
     assert not [words for client in clients for words in client.unnumbered_lines if words.startswith(b"ERR RS")]
 
 
 @pytest.mark.parametrize("dead", [False, True])
-def test_the_old_server_is_hung_or_dead(world: World, dead: bool) -> None:
-    """Nothing can be asked of it: the register knows what it has acknowledged."""
-    world.add("s-0", "s-1")
-    client = world.client(world.relay())
+def test_a_session_continues_if_its_server_hangs_or_dies(testbed: SessionTestbed, dead: bool) -> None:
+    """Such a server can't be asked for the session's state: the register must contain all that it has acknowledged."""
+    testbed.add_servers("s-0", "s-1")
+    client = testbed.connect_client(testbed.start_relay())
     client.send_line("one")
-    world.echoed(client, 1)
-    home = world.home()
+    testbed.wait_for_echoes(client, 1)
+    first_server = testbed.connected_server()
     if dead:
-        home.stop()
-        world.until(lambda: client.connection.closed, "the break")  # type: ignore[union-attr]
-    home.behaviour = Behaviour.HUNG
+        first_server.stop()
+        testbed.until(lambda: client.connection.closed, "the break")  # type: ignore[union-attr]
+    first_server.behaviour = Behaviour.HUNG
     client.send_line("two")
     client.resume()
-    world.echoed(client, 2)
-    world.ends_well(client, "one", "two")
+    testbed.wait_for_echoes(client, 2)
+    testbed.check_ending(client, "one", "two")
 
 
-def test_keys_are_rotated_and_retired(world: World) -> None:
-    """Tokens of the key before are good until it is retired; then their bearer is told why not."""
-    world.add("s-0")
-    relay = world.relay()
-    client, other = world.client(relay), world.client(relay)
-    ring = key_file.read(world.keys).rotated(8, 8)
-    key_file.write(world.keys, ring)
+def test_tokens_are_accepted_until_their_key_is_retired(testbed: SessionTestbed) -> None:
+    """Tokens under the previous key are valid until it is retired; then they are refused with the reason."""
+    testbed.add_servers("s-0")
+    relay = testbed.start_relay()
+    client, other = testbed.connect_client(relay), testbed.connect_client(relay)
+    ring = key_file.read(testbed.keys).rotated(8, 8)
+    key_file.write(testbed.keys, ring)
     relay.hang_up()
     relay.until_told("session keys reloaded")
     client.resume()
     client.send_line("one")
-    world.echoed(client, 1)
-    key_file.write(world.keys, ring.retired(0))
+    testbed.wait_for_echoes(client, 1)
+    key_file.write(testbed.keys, ring.retired(0))
     relay.hang_up()
     relay.until_told("session keys reloaded", 2)
     assert other.resume().unnumbered_lines == []
-    world.until(lambda: other.unnumbered_lines[-1] == b"ERR RS key", "the reason")
+    testbed.until(lambda: other.unnumbered_lines[-1] == b"ERR RS key", "the reason")
     client.resume()
     client.send_line("two")
-    world.echoed(client, 2)
+    testbed.wait_for_echoes(client, 2)
 
 
-def test_the_token_of_another(world: World) -> None:
-    """Who saw a token, or a whole resume, on the wire must not get the session."""
-    world.add("s-0")
-    relay = world.relay()
-    client, thief = world.client(relay), world.client(relay)
+def test_an_observed_token_or_resume_does_not_open_the_session(testbed: SessionTestbed) -> None:
+    """Whoever observes a token, or a whole resume, on the wire could otherwise take over the session."""
+    testbed.add_servers("s-0")
+    relay = testbed.start_relay()
+    client, thief = testbed.connect_client(relay), testbed.connect_client(relay)
     client.send_line("one")
-    world.echoed(client, 1)
+    testbed.wait_for_echoes(client, 1)
     thief.token = client.token
     connection = thief.resume()
-    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    testbed.until(lambda: connection.unnumbered_lines, "the refusal")
     assert connection.unnumbered_lines == [b"ERR RS holder"]
-    seen = (client.token, client.secret, client.last_secret)
+    observed = (client.token, client.secret, client.last_secret)
     client.resume()
-    world.until(lambda: client.up_count == 2, "the resume")
-    thief.token, thief.secret, thief.last_secret = seen
+    testbed.until(lambda: client.up_count == 2, "the resume")
+    thief.token, thief.secret, thief.last_secret = observed
     connection = thief.resume()
-    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    testbed.until(lambda: connection.unnumbered_lines, "the refusal")
     assert connection.unnumbered_lines == [b"ERR RS stale"]
     client.send_line("two")
-    world.echoed(client, 2)
+    testbed.wait_for_echoes(client, 2)
 
 
-def test_a_resume_that_must_wait(world: World) -> None:
-    """Refused for load, the session stays resumable: the answer carries the token that is good now."""
-    world.add("s-0")
-    relay = world.relay()
-    client = world.client(relay)
+def test_a_session_stays_resumable_after_a_refusal_for_load(testbed: SessionTestbed) -> None:
+    """The resume has replaced the token, so the refusal must carry the new one, or the session could not be resumed."""
+    testbed.add_servers("s-0")
+    relay = testbed.start_relay()
+    client = testbed.connect_client(relay)
     client.send_line("one")
-    world.echoed(client, 1)
-    home = world.home()
-    home.behaviour = Behaviour.BUSY
-    home.drain()
-    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    testbed.wait_for_echoes(client, 1)
+    first_server = testbed.connected_server()
+    first_server.behaviour = Behaviour.BUSY
+    first_server.drain()
+    testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
     connection = client.resume()
-    world.until(lambda: connection.closed, "the refusal")
+    testbed.until(lambda: connection.closed, "the refusal")
     assert (
         connection.unnumbered_lines[0].split(b" ")[0] in (b"BUSY", b"ERR") and b" rs=" in connection.unnumbered_lines[0]
     )
-    home.behaviour = Behaviour.NORMAL
+    first_server.behaviour = Behaviour.NORMAL
     client.send_line("two")
 
-    def again() -> bool:
+    def resumes_until_echoed() -> bool:
         if client.connection is not None and client.connection.closed and not client.final_answers:
             client.resume()
         return len(client.server_lines) >= 2
 
-    world.until(again, "a server that is trusted again")
-    world.ends_well(client, "one", "two")
+    testbed.until(resumes_until_echoed, "a server that the relay uses again")
+    testbed.check_ending(client, "one", "two")
 
 
-def test_no_second_final_answer(world: World) -> None:
-    """A session that has its answer is over: whoever resumes it is told so, and gets no other."""
-    world.add("s-0", "s-1")
-    client = world.client(world.relay())
+def test_an_answered_session_is_not_answered_again(testbed: SessionTestbed) -> None:
+    """A resume of a session that has its final answer is refused as answered, and gets no second answer."""
+    testbed.add_servers("s-0", "s-1")
+    client = testbed.connect_client(testbed.start_relay())
     token, secret, last = client.token, client.secret, client.last_secret
-    world.ends_well(client)
+    testbed.check_ending(client)
     client.token, client.secret, client.last_secret = token, secret, last
     connection = client.resume()
-    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    testbed.until(lambda: connection.unnumbered_lines, "the refusal")
     assert connection.unnumbered_lines == [b"ERR RS answered"] and client.final_answers == 1
 
 
-def test_who_does_not_offer_it_sees_todays_bytes(world: World) -> None:
-    """Plain clients, and plain servers, must not meet a word of the extension."""
-    world.add("s-0")
-    relay = world.relay()
-    plain = world.client(relay, offers_resume=False)
+def test_peers_without_the_extension_see_none_of_its_words(testbed: SessionTestbed) -> None:
+    """Clients and servers that do not know the extension would fail on its words."""
+    testbed.add_servers("s-0")
+    relay = testbed.start_relay()
+    plain = testbed.connect_client(relay, offers_resume=False)
     assert plain.unnumbered_lines == [b"UP r-1"]
-    server = world.servers["s-0"]
+    server = testbed.servers["s-0"]
     assert b"rs=" not in server.received_lines[0] and b"rc=" not in server.received_lines[0]
     server.behaviour = Behaviour.NO_RESUME
-    client = world.client(relay)
+    client = testbed.connect_client(relay)
     assert client.unnumbered_lines == [b"UP r-1"] and not client.token
     assert client.connection is not None
     client.connection.send(b"a line as ever")
-    world.until(lambda: client.unnumbered_lines[-1] == b"echo a line as ever", "the echo")
+    testbed.until(lambda: client.unnumbered_lines[-1] == b"echo a line as ever", "the echo")
     server.drain()
-    world.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
+    testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
     assert client.unnumbered_lines[-1] == b"MOVE"
 
 
 @pytest.mark.parametrize("names", ["rs=1", "rs=1,rc=short", "rs=AAAA,op=x,rc=" + "A" * 43 + ",seen=-1"])
-def test_a_malformed_offer_is_told(world: World, names: str) -> None:
-    """A client that believes to be resumable, and is not, learns it at the worst time."""
+def test_a_malformed_offer_is_refused_with_its_reason(testbed: SessionTestbed, names: str) -> None:
+    """Without the refusal, a client would learn that its session is not resumable only when it needs to resume."""
     import socket
 
-    world.add("s-0")
-    with socket.create_connection(("127.0.0.1", world.port(world.relay())), timeout=10) as sock:
+    testbed.add_servers("s-0")
+    with socket.create_connection(("127.0.0.1", testbed.port(testbed.start_relay())), timeout=10) as sock:
         sock.sendall(f"OPEN 1234 key c=overlay,d=1000,{names}\r\n".encode())
         assert sock.makefile("rb").readline() == b"ERR RS malformed\r\n"
 
 
-def test_a_corrupt_ledger_is_set_aside_and_told(world: World) -> None:
-    """What can't be believed must not be believed in part."""
-    world.add("s-0")
-    relay = world.relay()
-    client = world.client(relay)
+def test_a_corrupt_ledger_is_set_aside_and_logged(testbed: SessionTestbed) -> None:
+    """No part of a corrupt ledger may be used: sessions that can still be read may have lost a fence."""
+    testbed.add_servers("s-0")
+    relay = testbed.start_relay()
+    client = testbed.connect_client(relay)
     relay.kill()
-    text = bytearray(world.ledger.read_bytes())
+    text = bytearray(testbed.ledger.read_bytes())
     text[100:200] = bytes(100)
-    world.ledger.write_bytes(bytes(text))
-    world.ledger.with_name("ledger-wal").unlink(missing_ok=True)
-    again = world.relay()
+    testbed.ledger.write_bytes(bytes(text))
+    testbed.ledger.with_name("ledger-wal").unlink(missing_ok=True)
+    again = testbed.start_relay()
     again.until_told("ledger is corrupt or can't be opened")
-    client.port = world.port(again)
+    client.port = testbed.port(again)
     connection = client.resume()
-    world.until(lambda: connection.unnumbered_lines, "the refusal")
+    testbed.until(lambda: connection.unnumbered_lines, "the refusal")
     assert connection.unnumbered_lines == [b"ERR RS lost"]
