--- a/scaledeal/resume/stores/ledger.py
+++ b/scaledeal/resume/stores/ledger.py
@@ -106,10 +106,10 @@
             # The checksum does not cover the columns by which sessions are expired and evicted: a flipped bit there
             # would delete a session too soon.
             if (register.session, register.expires, register.answered) != (session, expires, bool(answered)):
-                raise LedgerError(f"{self.path}: session {session!r} is not as it was written")
+                raise LedgerError(f"{self.path}: session {session!r} is corrupt: its columns differ from its register")
             count, checksum_xor = count + 1, _xor(checksum_xor, checksum)
         if (count, checksum_xor) != (rows, checksums):
-            raise LedgerError(f"{self.path}: the sessions differ from those written: found {count}, wrote {rows}")
+            raise LedgerError(f"{self.path}: row count or checksum mismatch: found {count} sessions, expected {rows}")
         self._row_count, self._checksum_xor = rows, checksums
         self._write_grant_count(grants)
 
@@ -203,20 +203,20 @@
     # Queries and maintenance
 
     def get(self, session: str) -> Register | None:
-        """Return a session's register, or None; raise LedgerError if it is not as it was written."""
+        """Return a session's register, or None for an unknown session; raise LedgerError if it is corrupt."""
         row = self._connection.execute("SELECT body, sum FROM sessions WHERE session = ?", (session,)).fetchone()
         return self._decode_register(session, *row) if row is not None else None
 
     def _decode_register(self, session: str, body: bytes, checksum: bytes) -> Register:
         if _checksum(body) != checksum:
-            raise LedgerError(f"{self.path}: session {session!r} is not as it was written")
+            raise LedgerError(f"{self.path}: session {session!r} is corrupt: checksum mismatch")
         try:
             return msgspec.msgpack.decode(body, type=Register)
         except msgspec.MsgspecError as error:
-            raise LedgerError(f"{self.path}: session {session!r}: {error}") from None
+            raise LedgerError(f"{self.path}: session {session!r} is corrupt: {error}") from None
 
     def sessions(self) -> Iterator[Register]:
-        """Return all registers, the next to expire first."""
+        """Return all registers, the next to expire first; raise LedgerError at a corrupt one."""
         for row in self._connection.execute("SELECT session, body, sum FROM sessions ORDER BY expires"):
             yield self._decode_register(*row)
 
--- a/scaledeal/resume/wire/sessions.py
+++ b/scaledeal/resume/wire/sessions.py
@@ -24,13 +24,13 @@
 class SessionManager:
     """Begins and resumes the sessions of this relay, and holds what they share."""
 
-    def __init__(self, owner: Owner, sealer: Sealer, expiry: int, clock: Callable[[], int]) -> None:
-        """Take ``expiry`` in ns; ``clock`` returns Unix time in ns and must not step."""
+    def __init__(self, owner: Owner, sealer: Sealer, expiry_ns: int, clock: Callable[[], int]) -> None:
+        """``clock`` returns Unix time in ns and must not step; sessions expire ``expiry_ns`` after the last record."""
         self.owner = owner
         self.sealer = sealer
-        self.expiry = expiry
+        self.expiry_ns = expiry_ns
         self.clock = clock
-        self.live: dict[str, Session] = {}  # by session name: the connections that hold a session at this relay
+        self.live: dict[str, Session] = {}  # by session id: the connection that holds it at this relay
         self.counts: Counter[str] = Counter()
 
     def accept_open(self, named_values: NamedValues) -> Session | bytes | None:
@@ -50,7 +50,7 @@
     def _begin(self, named_values: NamedValues, offer: Offer) -> Session | None:
         session = secrets.token_hex(8)
         try:
-            register = self.owner.begin(session, self.owner.name, self.clock() + self.expiry, offer.commitment)
+            register = self.owner.begin(session, self.owner.name, self.clock() + self.expiry_ns, offer.commitment)
         except FullError:
             # The connection is served without being resumable; the client sees so from its UP, which has no token.
             self.counts["no room"] += 1
@@ -90,7 +90,7 @@
         credential = Credential(token.epoch, tuple(commitment_to(secret) for secret in offer.secrets), offer.commitment)
         now = self.clock()
         try:
-            register = self.owner.claim(token.session, credential, self.owner.name, now, now + self.expiry)
+            register = self.owner.claim(token.session, credential, self.owner.name, now, now + self.expiry_ns)
         except OwnerError:
             # Nothing was claimed, so the token stays valid for the client's next attempt.
             self.counts["owner failed"] += 1
@@ -211,18 +211,18 @@
                 return False
             self.outbox.append(numbered.text)
         progress = Progress(numbered.acknowledged, self.outbox.last_sent, self.server_state, tuple(self.outbox.lines))
-        expires = self.manager.clock() + self.manager.expiry
-        return self._is_granted(
+        expires = self.manager.clock() + self.manager.expiry_ns
+        return self._apply_transition(
             lambda: self.manager.owner.record(self.register.session, self.register.epoch, progress, expires)
         )
 
     def _answer(self) -> bool:
-        granted = self._is_granted(lambda: self.manager.owner.answer(self.register.session, self.register.epoch))
+        granted = self._apply_transition(lambda: self.manager.owner.answer(self.register.session, self.register.epoch))
         self.leave()
         return granted
 
-    def _is_granted(self, transition: Callable[[], TransitionResult]) -> bool:
-        """Apply a transition at the owner; return False if it is refused or the owner fails.
+    def _apply_transition(self, transition: Callable[[], TransitionResult]) -> bool:
+        """Apply a transition at the owner; return whether it was granted: not if it is refused or the owner fails.
 
         The caller must not pass on a line whose transition was not granted.
         """
@@ -239,7 +239,7 @@
 
     def _discard(self) -> None:
         """End a session that can't be resumed: mark it as answered, so that the store may evict it."""
-        self._is_granted(lambda: self.manager.owner.answer(self.register.session, self.register.epoch))
+        self._apply_transition(lambda: self.manager.owner.answer(self.register.session, self.register.epoch))
         self.leave()
 
     def seal_token(self) -> bytes:
@@ -256,7 +256,7 @@
             register.applied,
             register.sent,
             now,
-            now + self.manager.expiry,
+            now + self.manager.expiry_ns,
             register.commitment,
         )
         return self.manager.sealer.seal(token).encode()
--- a/tests/test_resume_parts.py
+++ b/tests/test_resume_parts.py
@@ -114,10 +114,12 @@
 
 
 @given(st.integers(1, 10**15 - 1), st.integers(0, 10**15 - 1), st.binary(max_size=60))
-def test_numbered_lines_round_trip(number: int, held: int, text: bytes) -> None:
-    line = lines.NumberedLine(number, held, text)
+def test_numbered_lines_round_trip(number: int, acknowledged: int, text: bytes) -> None:
+    line = lines.NumberedLine(number, acknowledged, text)
     assert lines.parse_line(lines.format_line(line)) == line
-    assert lines.parse_line(lines.format_line(lines.NumberedLine(0, held))) == lines.NumberedLine(0, held)
+    assert lines.parse_line(lines.format_line(lines.NumberedLine(0, acknowledged))) == lines.NumberedLine(
+        0, acknowledged
+    )
 
 
 @given(st.binary(max_size=40))
@@ -499,4 +501,4 @@
     connection.commit()
     connection.close()
     refused = runner.invoke(app, ["sessions", "verify", str(path)])
-    assert refused.exit_code == 2 and "'s7' is not as it was written" in refused.output
+    assert refused.exit_code == 2 and "'s7' is corrupt: checksum mismatch" in refused.output
