--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from scaledeal import interface as api
-from scaledeal.lab.kernel import Moment
+from scaledeal.lab.kernel import ScheduledCall
 from scaledeal.lab.truth import BrokenRuleError
 from scaledeal.lab.world.before import stood
 from scaledeal.lab.world.clients import Client
@@ -58,7 +58,7 @@
         self.began = relay.fleet.kernel.now
         self.held: Held | None = None
         self.over = False
-        self.timer: Moment | None = None
+        self.timer: ScheduledCall | None = None
 
     # The seat
 
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from scaledeal.lab.hosts.relay.sockets import End, Listener, Machine, Net
-from scaledeal.lab.kernel import Moment
+from scaledeal.lab.kernel import ScheduledCall
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer, Directory
 from scaledeal.lab.world.fleet import Door, Fleet
@@ -364,7 +364,7 @@
         self.id = client.id
         self.answered = self.stands = self.moved = False
         self.sent = self.heard = 0
-        self.timer: Moment | None = None
+        self.timer: ScheduledCall | None = None
         kind = client.kind
         wait = STOOD if at else kind.deadline
         words = f"c={kind.name},d={int(wait // MS)}" + (f",g={client.group}" if client.group else "")
--- a/scaledeal/lab/hosts/relay/reactor.py
+++ b/scaledeal/lab/hosts/relay/reactor.py
@@ -29,7 +29,7 @@
 from zope.interface import implementer
 
 from scaledeal.lab.hosts.relay.sockets import Dial, End, Listener, Machine, Net
-from scaledeal.lab.kernel import Moment
+from scaledeal.lab.kernel import ScheduledCall
 
 SECOND = 1_000_000_000
 READ = 1 << 16
@@ -131,7 +131,7 @@
             self._plan()
 
     def _plan(self) -> None:
-        self._moment: Moment = self.reactor.net.kernel.at(self.at, lambda: self.reactor.process.do(self._due))
+        self._moment: ScheduledCall = self.reactor.net.kernel.at(self.at, lambda: self.reactor.process.do(self._due))
 
     def _due(self) -> None:
         if self.active():
--- a/scaledeal/lab/kernel/__init__.py
+++ b/scaledeal/lab/kernel/__init__.py
@@ -1,12 +1,12 @@
-"""Simulated time: a clock, a station that serves in turn, and random numbers by name.
+"""Discrete-event simulation: a clock, a queueing station and named random streams.
 
-Small on purpose: what a server, a client or a network is stands in ``scaledeal.lab.world``. It may import numpy and
-the standard library. The same seed and the same calls give the same run, whatever the hash seed; a run may also order
-what falls on one instant at random, by its seed, to find what hangs on that order.
+Models of servers, clients and networks belong to ``scaledeal.lab.world``. This package may import only numpy and the
+standard library. The same seed and the same calls give the same run under every hash seed. Optionally, calls scheduled
+for the same instant run in an order drawn from the seed, which exposes code that depends on that order.
 """
 
-from scaledeal.lab.kernel.clock import Kernel, Moment, RunawayError
+from scaledeal.lab.kernel.clock import Kernel, RunawayError, ScheduledCall
 from scaledeal.lab.kernel.station import Station
 from scaledeal.lab.kernel.streams import Streams
 
-__all__ = ["Kernel", "Moment", "RunawayError", "Station", "Streams"]
+__all__ = ["Kernel", "RunawayError", "ScheduledCall", "Station", "Streams"]
--- a/scaledeal/lab/kernel/clock.py
+++ b/scaledeal/lab/kernel/clock.py
@@ -1,8 +1,8 @@
-"""The clock of a run: calls at moments, carried out in order.
+"""The simulated clock: runs scheduled calls in the order of their times.
 
-Theory of operation: a heap of (moment, tie, number). ``number`` counts what was planned, so that calls of one instant
-are carried out in the order in which they were planned, and never by a hash. With ``ties`` the middle figure is drawn,
-and calls of one instant come in an order of the seed's.
+Theory of operation: a heap of (time, tie-breaker, sequence number). The sequence number counts scheduled calls, so that
+calls of the same instant run in the order in which they were scheduled, independent of hashing. With a tie generator,
+the tie-breaker is random and calls of the same instant run in an order determined by the seed.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 import numpy as np
 
-MOST_AT_ONCE = 2_000_000  # calls in one instant past which nothing more will ever come of the run
+MAX_CALLS_PER_INSTANT = 2_000_000  # a run with more calls at one instant does not advance any more
 
 
 class RunawayError(Exception):
-    """A run that plans without end in one instant; the text names the call."""
+    """Raised when a run schedules calls at one instant without end; the message names the last call."""
 
 
-class Moment:
-    """A call that is planned."""
+class ScheduledCall:
+    """A call scheduled for a time in nanoseconds."""
 
     __slots__ = ("at", "call")
 
@@ -29,68 +29,73 @@
         self.call: Callable[[], object] | None = call
 
     def cancel(self) -> None:
-        """Take it back; once it was carried out, nothing happens."""
+        """Cancel the call; does nothing if it has already run."""
         self.call = None
 
     def active(self) -> bool:
-        """Tell whether it is still to come."""
+        """Return whether the call is still pending."""
         return self.call is not None
 
 
 class Kernel:
-    """Owns simulated time; all times are nanoseconds since the run began."""
+    """Owns simulated time; all times are nanoseconds since the start of the run."""
 
     def __init__(self, ties: np.random.Generator | None = None) -> None:
         self.now = 0
-        self.done = 0  # calls carried out
-        self._heap: list[tuple[int, float, int, Moment]] = []
-        self._number = 0
+        self.executed = 0  # calls
+        self._heap: list[tuple[int, float, int, ScheduledCall]] = []
+        self._scheduled = 0
         self._ties = ties
         self._stopped = False
 
-    def at(self, moment: int, call: Callable[[], object]) -> Moment:
-        """Plan a call; one in the past is carried out now, after what is planned for now already."""
-        planned = Moment(max(self.now, moment), call)
-        self._number += 1
+    def at(self, time: int, call: Callable[[], object]) -> ScheduledCall:
+        """Schedule a call; a time in the past means now, after the calls already scheduled for now."""
+        scheduled = ScheduledCall(max(self.now, time), call)
+        self._scheduled += 1
         tie = float(self._ties.random()) if self._ties is not None else 0.0
-        heapq.heappush(self._heap, (planned.at, tie, self._number, planned))
-        return planned
+        heapq.heappush(self._heap, (scheduled.at, tie, self._scheduled, scheduled))
+        return scheduled
 
-    def after(self, delay: int, call: Callable[[], object]) -> Moment:
-        """Plan a call so many nanoseconds from now."""
+    def after(self, delay: int, call: Callable[[], object]) -> ScheduledCall:
+        """Schedule a call after a delay in nanoseconds; a negative delay counts as 0."""
         return self.at(self.now + max(0, int(delay)), call)
 
     def every(self, period: int, call: Callable[[], object], first: int | None = None) -> None:
-        """Call again and again, for as long as the run lasts."""
+        """Repeat a call every ``period`` ns until the end of the run, first after ``first`` ns or else one period."""
 
-        def again() -> None:
+        def repeat() -> None:
             call()
-            self.after(period, again)
+            self.after(period, repeat)
 
-        self.after(period if first is None else first, again)
+        self.after(period if first is None else first, repeat)
 
     def run(self, until: int) -> None:
-        """Carry out what is planned up to a moment, that moment's own calls included; raise RunawayError."""
+        """Run all calls scheduled up to and including the time ``until``.
+
+        Raises RunawayError when calls at one instant keep scheduling more calls at that instant.
+        """
         self._stopped = False
-        at_once, heap = 0, self._heap
+        calls_this_instant, heap = 0, self._heap
         while heap and heap[0][0] <= until and not self._stopped:
-            at, _, _, planned = heapq.heappop(heap)
-            call, planned.call = planned.call, None
+            at, _, _, scheduled = heapq.heappop(heap)
+            call, scheduled.call = scheduled.call, None
             if call is None:
                 continue
-            at_once = at_once + 1 if at == self.now else 0
-            if at_once > MOST_AT_ONCE:
-                raise RunawayError(f"{at_once} calls at {at / 1e9:.6f} s and no end: {call}")
+            calls_this_instant = calls_this_instant + 1 if at == self.now else 0
+            if calls_this_instant > MAX_CALLS_PER_INSTANT:
+                raise RunawayError(
+                    f"{calls_this_instant} calls at {at / 1e9:.6f} s without the clock advancing; last call: {call}"
+                )
             self.now = at
-            self.done += 1
+            self.executed += 1
             call()
         if not self._stopped:
             self.now = max(self.now, until)
 
     def stop(self) -> None:
-        """End ``run`` after the call that is being carried out."""
+        """Make ``run`` return after the current call."""
         self._stopped = True
 
-    def waiting(self) -> int:
-        """Return how many calls are planned."""
-        return sum(planned.call is not None for *_, planned in self._heap)
+    def pending_count(self) -> int:
+        """Return the number of pending calls."""
+        return sum(scheduled.call is not None for *_, scheduled in self._heap)
--- a/scaledeal/lab/runs/play.py
+++ b/scaledeal/lab/runs/play.py
@@ -132,6 +132,6 @@
         fleet.service.series(),
         tuple(map(str, fleet.witness.violations)),
         error,
-        fleet.kernel.done,
+        fleet.kernel.executed,
         round(time.monotonic() - began, 2),
     )
--- a/scaledeal/lab/world/clients.py
+++ b/scaledeal/lab/world/clients.py
@@ -14,7 +14,7 @@
 
 import numpy as np
 
-from scaledeal.lab.kernel import Kernel, Moment, Streams
+from scaledeal.lab.kernel import Kernel, ScheduledCall, Streams
 from scaledeal.lab.scenario.types import Class, Scenario
 from scaledeal.lab.truth import Service, Witness
 from scaledeal.lab.world.server import Held
@@ -53,8 +53,8 @@
         self.honours = draw.random() < crowd.day.clients.honour
         self.asked_at = 0
         self.relay = ""
-        self._timer: Moment | None = None
-        self._due: Moment | None = None
+        self._timer: ScheduledCall | None = None
+        self._due: ScheduledCall | None = None
 
     @property
     def cell(self) -> int:
--- a/scaledeal/lab/world/directory.py
+++ b/scaledeal/lab/world/directory.py
@@ -133,4 +133,4 @@
         work = self.day.discovery.call + len(entries) * self.day.discovery.line
         self.lines += len(entries)
         answer = Answer(self.index, after is None, entries)
-        self.calls.put(work, lambda served: tell(answer if served and not self.down else None))
+        self.calls.submit(work, lambda served: tell(answer if served and not self.down else None))
--- a/scaledeal/lab/world/server.py
+++ b/scaledeal/lab/world/server.py
@@ -174,7 +174,7 @@
             work = _drawn(self.draw, self.day.servers.setup) / SECOND
             self.coming += work
             took = work / (self.power / self.model.cores * self.warmth() * self.given)
-            self.tills.put(int(took * SECOND), lambda served: self._set_up(held, work, took))
+            self.tills.submit(int(took * SECOND), lambda served: self._set_up(held, work, took))
 
     def stands_already(self, held: Held) -> None:
         """Hold a connection from before the run."""
@@ -314,7 +314,7 @@
         self.coming = max(0.0, self.coming - work)
         self.service.worked(work, held.over)
         if not held.over:
-            self.store.put(self.store_time(), lambda called: self._called(held, called))
+            self.store.submit(self.store_time(), lambda called: self._called(held, called))
 
     def _called(self, held: Held, called: bool) -> None:
         if held.over or self.stands_still():
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -46,7 +46,7 @@
     except BrokenRuleError as error:
         broken = error.violation
     result = fleet.service.result()
-    return Played(fleet, broken, (fleet.kernel.done, fleet.kernel.now, str(result)))
+    return Played(fleet, broken, (fleet.kernel.executed, fleet.kernel.now, str(result)))
 
 
 @pytest.mark.parametrize("host", HOSTS)
--- a/tests/test_lab_kernel.py
+++ b/tests/test_lab_kernel.py
@@ -1,4 +1,4 @@
-"""The kernel against theory: what queueing theory answers, it must answer too, and a broken one must not."""
+"""The simulation kernel: compares waiting times with queueing theory; checks order, determinism and cancellation."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from scaledeal.lab.kernel import Kernel, RunawayError, Station, Streams
 
 SECOND = 1_000_000_000
-DRAWN = 20_000
+JOBS = 20_000
 
 
-def queue(
-    workers: int, rate: float, work: float, seed: int, law: str = "exponential", kind: type[Station] = Station
+def run_queue(
+    workers: int, rate: float, work: float, seed: int, law: str = "exponential", station_type: type[Station] = Station
 ) -> Station:
-    """Play a queue with Poisson arrivals until so many were served; work and rate are in seconds."""
+    """Run a queue with Poisson arrivals until JOBS jobs were served; work is in seconds, rate in jobs per second."""
     kernel = Kernel()
-    station = kind(kernel, workers)
-    coming, working = Streams(seed).of("arrivals"), Streams(seed).of("work")
-    left = [DRAWN]
+    station = station_type(kernel, workers)
+    arrivals, service_times = Streams(seed).of("arrivals"), Streams(seed).of("work")
+    remaining = [JOBS]
 
     def arrive() -> None:
-        took = work if law == "fixed" else float(working.exponential(work))
-        station.put(int(took * SECOND), lambda served: None)
-        left[0] -= 1
-        if left[0]:
-            kernel.after(int(float(coming.exponential(1 / rate)) * SECOND), arrive)
+        duration = work if law == "fixed" else float(service_times.exponential(work))
+        station.submit(int(duration * SECOND), lambda served: None)
+        remaining[0] -= 1
+        if remaining[0]:
+            kernel.after(int(float(arrivals.exponential(1 / rate)) * SECOND), arrive)
 
     kernel.after(0, arrive)
     kernel.run(1 << 62)
@@ -39,77 +39,79 @@
 
 
 def mean_wait(station: Station) -> float:
-    return station.waited / station.served / SECOND
+    return station.total_wait_ns / station.served / SECOND
 
 
 def erlang_c(workers: int, load: float) -> float:
     terms = [load**n / math.factorial(n) for n in range(workers)]
-    last = load**workers / math.factorial(workers) * workers / (workers - load)
-    return last / (sum(terms) + last)
+    last_term = load**workers / math.factorial(workers) * workers / (workers - load)
+    return last_term / (sum(terms) + last_term)
 
 
 def interval(values: list[float]) -> tuple[float, float]:
-    """Return the 99.9 % interval of a mean, from runs of different seeds."""
-    mean, spread = float(np.mean(values)), float(np.std(values, ddof=1)) / math.sqrt(len(values))
-    return mean - 6 * spread, mean + 6 * spread
+    """Return the 99.9 % confidence interval of a mean, from runs with different seeds."""
+    mean, standard_error = float(np.mean(values)), float(np.std(values, ddof=1)) / math.sqrt(len(values))
+    return mean - 6 * standard_error, mean + 6 * standard_error
 
 
 @pytest.mark.parametrize(("workers", "load"), [(1, 0.5), (3, 2.1), (8, 6.4)])
-def test_waiting_with_many_workers_is_as_erlang_tells(workers: int, load: float):
+def test_waiting_time_with_many_workers_matches_erlang_c(workers: int, load: float):
     expected = erlang_c(workers, load) / (workers - load)  # in units of the mean work
-    low, high = interval([mean_wait(queue(workers, load, 1.0, seed)) for seed in range(5)])
+    low, high = interval([mean_wait(run_queue(workers, load, 1.0, seed)) for seed in range(5)])
     assert low <= expected <= high, f"{low:.4f} to {high:.4f}, theory {expected:.4f}"
 
 
-def test_waiting_at_fixed_work_is_as_pollaczek_and_khinchine_tell():
+def test_waiting_time_with_fixed_work_matches_pollaczek_khinchine():
     load = 0.7
     expected = load / (2 * (1 - load))
-    low, high = interval([mean_wait(queue(1, load, 1.0, seed, "fixed")) for seed in range(5)])
+    low, high = interval([mean_wait(run_queue(1, load, 1.0, seed, "fixed")) for seed in range(5)])
     assert low <= expected <= high, f"{low:.4f} to {high:.4f}, theory {expected:.4f}"
 
 
-def test_what_is_in_the_station_is_rate_times_time_as_little_tells():
-    station = queue(2, 1.4, 1.0, 7)
-    spent = (station.waited / SECOND + DRAWN * 1.0) / DRAWN  # the mean of the drawn work is within a percent of 1
-    count = station.area / (station.seen / SECOND)
-    assert count == pytest.approx(DRAWN / (station.seen / SECOND) * spent, rel=0.03)
+def test_mean_number_of_jobs_matches_littles_law():
+    station = run_queue(2, 1.4, 1.0, 7)
+    mean_stay = (
+        station.total_wait_ns / SECOND + JOBS * 1.0
+    ) / JOBS  # the mean of the drawn work is within a percent of 1
+    count = station.jobs_integral_s / (station.integrated_until / SECOND)
+    assert count == pytest.approx(JOBS / (station.integrated_until / SECOND) * mean_stay, rel=0.03)
 
 
-def test_so_many_are_there_where_nobody_waits():
-    # M/G/infinity: the count is Poisson with the mean rate times life, whatever the law of the lives.
+def test_mean_number_of_jobs_without_waiting_matches_m_g_infinity():
+    # M/G/infinity: the number of jobs is Poisson with mean rate * service time, for every service time distribution.
     counts = []
     for seed in range(12):
-        station = queue(10_000, 50.0, 0.8, seed, "fixed")
-        counts.append(station.area / (station.seen / SECOND))
+        station = run_queue(10_000, 50.0, 0.8, seed, "fixed")
+        counts.append(station.jobs_integral_s / (station.integrated_until / SECOND))
     low, high = interval(counts)
     assert low <= 40.0 <= high, f"{low:.2f} to {high:.2f}"
 
 
-class LastFirst(Station):
-    """Serves whoever came last, and forgets that work takes as long as it does."""
+class FastStation(Station):
+    """Works a tenth too fast, so that its waiting times contradict theory."""
 
-    def put(self, work, done):  # type: ignore[no-untyped-def]
-        return super().put(int(work * 0.9), done)
+    def submit(self, work, on_done):  # type: ignore[no-untyped-def]
+        return super().submit(int(work * 0.9), on_done)
 
 
-def test_a_broken_station_fails_the_theory():
+def test_comparison_with_theory_detects_a_station_that_is_too_fast():
     expected = erlang_c(1, 0.5) / 0.5
-    low, high = interval([mean_wait(queue(1, 0.5, 1.0, seed, kind=LastFirst)) for seed in range(5)])
-    assert not low <= expected <= high, "a station that works a tenth too fast was not seen"
+    low, high = interval([mean_wait(run_queue(1, 0.5, 1.0, seed, station_type=FastStation)) for seed in range(5)])
+    assert not low <= expected <= high, "a station that works a tenth too fast was not detected"
 
 
 @given(st.lists(st.integers(0, 50), max_size=60))
-def test_calls_come_in_the_order_of_their_moments_then_of_planning(moments: list[int]):
+def test_calls_run_by_time_then_in_scheduling_order(times: list[int]):
     kernel, seen = Kernel(), []
-    for number, moment in enumerate(moments):
-        kernel.at(moment, lambda n=number, m=moment: seen.append((m, n)))
+    for number, time in enumerate(times):
+        kernel.at(time, lambda n=number, t=time: seen.append((t, n)))
     kernel.run(100)
-    assert seen == sorted(seen) and len(seen) == len(moments)
+    assert seen == sorted(seen) and len(seen) == len(times)
 
 
 @settings(max_examples=30)
 @given(st.integers(0, 1000))
-def test_drawn_ties_keep_moments_in_order_and_lose_nothing(seed: int):
+def test_random_ties_keep_times_in_order_and_lose_no_call(seed: int):
     kernel, seen = Kernel(Streams(seed).of("ties")), []
     for number in range(40):
         kernel.at(number // 10, lambda n=number: seen.append(n))
@@ -118,17 +120,17 @@
     assert [n // 10 for n in seen] == sorted(n // 10 for n in seen)
 
 
-def test_a_cancelled_call_never_comes_and_a_late_one_comes_now():
+def test_a_cancelled_call_never_runs_and_one_in_the_past_runs_now():
     kernel, seen = Kernel(), []
-    planned = kernel.at(5, lambda: seen.append("no"))
-    kernel.at(3, planned.cancel)
+    scheduled = kernel.at(5, lambda: seen.append("no"))
+    kernel.at(3, scheduled.cancel)
     kernel.at(6, lambda: kernel.at(1, lambda: seen.append(kernel.now)))
     kernel.run(10)
-    assert seen == [6] and kernel.now == 10 and not planned.active()
+    assert seen == [6] and kernel.now == 10 and not scheduled.active()
 
 
-def test_planning_without_end_in_one_instant_is_told(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr("scaledeal.lab.kernel.clock.MOST_AT_ONCE", 1000)
+def test_endless_calls_at_one_instant_raise_runaway_error(monkeypatch: pytest.MonkeyPatch):
+    monkeypatch.setattr("scaledeal.lab.kernel.clock.MAX_CALLS_PER_INSTANT", 1000)
     kernel = Kernel()
 
     def again() -> None:
@@ -139,30 +141,30 @@
         kernel.run(10)
 
 
-def test_one_name_more_changes_no_others_draws():
+def test_streams_are_independent_of_one_another():
     alone = Streams(5).of("client", 7).random(3)
     streams = Streams(5)
     streams.of("client", 8).random(100)
     assert (streams.of("client", 7).random(3) == alone).all()
     assert (Streams(6).of("client", 7).random(3) != alone).all()
-    assert (streams.of("client7").random(3) != alone).all(), "names are told apart by their parts"
+    assert (streams.of("client7").random(3) != alone).all(), "the parts of a name are hashed separately"
 
 
-def test_draws_do_not_hang_on_the_hash_seed():
+def test_streams_do_not_depend_on_the_hash_seed():
     code = "from scaledeal.lab.kernel import Streams; print(Streams(3).of('a', 1).integers(1 << 60))"
-    told = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code], env={"PYTHONHASHSEED": seed}, capture_output=True, text=True, check=True
         ).stdout
         for seed in ("0", "1")
     }
-    assert len(told) == 1
+    assert len(outputs) == 1
 
 
-def test_a_station_turns_away_past_its_queue_and_after_patience():
-    kernel, heard = Kernel(), []
+def test_a_station_refuses_jobs_beyond_its_queue_and_after_the_patience():
+    kernel, results = Kernel(), []
     station = Station(kernel, 1, queue=1, patience=15)
     for _ in range(3):
-        station.put(20, heard.append)
+        station.submit(20, results.append)
     kernel.run(100)
-    assert sorted(heard) == [False, False, True] and station.refused == 2
+    assert sorted(results) == [False, False, True] and station.refused == 2
