--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from scaledeal.lab.runs import Job, Variant, play
-from scaledeal.lab.scenario import ready
+from scaledeal.lab.scenario import bundled_scenarios
 
 SIZES = ((10, 3), (14, 3), (60, 3), (60, 40), (200, 40))
 LARGE = ((80, 200), (600, 200), (2000, 200))
@@ -26,7 +26,7 @@
 
 def text(name: str) -> str:
     """Return a ready scenario."""
-    return ready()[name].read_text()
+    return bundled_scenarios()[name].read_text()
 
 
 def measured(scenario: str, host: str, over: str = "") -> dict[str, Any]:
--- a/scaledeal/cli/lab.py
+++ b/scaledeal/cli/lab.py
@@ -100,9 +100,9 @@
 @app.command()
 def scenarios() -> None:
     """List the scenarios that come with the program."""
-    from scaledeal.lab.scenario import ready
+    from scaledeal.lab.scenario import bundled_scenarios
 
-    for name, path in ready().items():
+    for name, path in bundled_scenarios().items():
         typer.echo(f"{name:16} {path.read_text().splitlines()[0].lstrip('# ')}")
 
 
@@ -258,11 +258,11 @@
 
 def _text(scenario: str) -> str:
     from scaledeal.hcl import FileError, read_file
-    from scaledeal.lab.scenario import load, ready
+    from scaledeal.lab.scenario import bundled_scenarios, load
 
     path = Path(scenario)
-    if not path.is_file() and scenario in ready():
-        path = ready()[scenario]
+    if not path.is_file() and scenario in bundled_scenarios():
+        path = bundled_scenarios()[scenario]
     try:
         load(path)
         return read_file(path)
--- a/scaledeal/lab/scenario/__init__.py
+++ b/scaledeal/lab/scenario/__init__.py
@@ -1,10 +1,11 @@
-"""Scenarios: what a simulated day is made of, written in HCL.
+"""Scenarios: HCL files that describe a simulated day.
 
-``types`` says what a file may hold, with units; ``rules`` what one value must keep by another; ``reading`` decodes,
-checks and finds the ready ones, which lie in ``scaledeal/lab/scenarios``. It may import ``scaledeal.hcl``.
+``types`` defines the blocks and values of a file, with units; ``rules`` defines constraints between values;
+``reading`` decodes and checks files, and finds the bundled ones in ``scaledeal/lab/scenarios``. This package may import
+``scaledeal.hcl``.
 """
 
-from scaledeal.lab.scenario.reading import check, load, ready
+from scaledeal.lab.scenario.reading import bundled_scenarios, check, load
 from scaledeal.lab.scenario.types import Scenario
 
-__all__ = ["Scenario", "check", "load", "ready"]
+__all__ = ["Scenario", "bundled_scenarios", "check", "load"]
--- a/scaledeal/lab/scenario/rules.py
+++ b/scaledeal/lab/scenario/rules.py
@@ -1,4 +1,4 @@
-"""What one value of a scenario must keep by another; each rule says what to change."""
+"""Constraints on the values of a scenario; each message says what the value must be."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from scaledeal.hcl import Breach, Rule, told
 from scaledeal.lab.scenario.types import Class, Clients, Model, Network, Scenario, Servers, Trouble
 
-LONGEST = 2 * 86_400_000_000_000  # ns
-_PARTS = {
+MAX_DURATION_NS = 2 * 86_400_000_000_000
+_KINDS_WITH_PART = {
     "slow",
     "neighbour",
     "hang",
@@ -25,7 +25,7 @@
     "upgrade",
     "reload",
 }
-_SIZED = {
+_MIN_SIZES = {  # by trouble: the exclusive lower limit of ``size``, and its unit
     "slow_store": (1.0, "times slower"),
     "slow": (1.0, "times slower"),
     "report_late": (0.0, "seconds"),
@@ -35,125 +35,128 @@
 
 
 def _seconds(file: Scenario) -> Iterator[Breach]:
-    if not 1_000_000_000 <= file.seconds <= LONGEST:
-        yield "seconds", "must lie between 1s and 48h"
+    if not 1_000_000_000 <= file.seconds <= MAX_DURATION_NS:
+        yield "seconds", "must be between 1s and 48h"
 
 
 def _zones(file: Scenario) -> Iterator[Breach]:
     if not file.zones:
         yield "zones", "at least one is needed"
     if len(set(file.zones)) < len(file.zones):
-        yield "zones", "a name stands twice"
+        yield "zones", "a zone is named twice"
 
 
 def _classes(file: Scenario) -> Iterator[Breach]:
     if not file.classes:
         yield "class", 'at least one is needed: class "NAME" { ... }'
-    yield from _twice("class", [each.name for each in file.classes])
-    for each in file.classes:
-        yield from told((_class,), each)
+    yield from _duplicates("class", [cls.name for cls in file.classes])
+    for cls in file.classes:
+        yield from told((_class,), cls)
 
 
 def _tenants(file: Scenario) -> Iterator[Breach]:
-    yield from _twice("tenant", [each.name for each in file.tenant])
+    yield from _duplicates("tenant", [tenant.name for tenant in file.tenant])
 
 
 def _goal(file: Scenario) -> Iterator[Breach]:
     goal = file.goal
-    whole = goal.whole + goal.worst_window + goal.worst_class + goal.worst_tenant
-    if abs(whole - 1) > 1e-6:
-        yield "goal", f"its shares must come to 1, not {whole:g}"
+    total = goal.whole + goal.worst_window + goal.worst_class + goal.worst_tenant
+    if abs(total - 1) > 1e-6:
+        yield "goal", f"its shares must add up to 1, not {total:g}"
     if goal.worst_tenant and not file.tenant:
         yield "goal.worst_tenant", 'must be 0 without tenants: tenant "NAME" { ... }'
 
 
-def _class(each: Class) -> Iterator[Breach]:
-    place = f'class["{each.name}"]'
-    if each.aim <= 0 or each.deadline <= 0:
+def _class(cls: Class) -> Iterator[Breach]:
+    place = f'class["{cls.name}"]'
+    if cls.aim <= 0 or cls.deadline <= 0:
         yield place, "aim and deadline must be above 0s"
-    if each.aim > each.deadline:
-        yield f"{place}.aim", f"is past the deadline of {each.deadline}"
-    if each.load.low <= 0 or each.life.low <= 0:
+    if cls.aim > cls.deadline:
+        yield f"{place}.aim", f"must not exceed the deadline of {cls.deadline}"
+    if cls.load.low <= 0 or cls.life.low <= 0:
         yield place, "load and life must be above 0"
-    if each.change.low < 10_000_000:
+    if cls.change.low < 10_000_000:
         yield f"{place}.change", "must be 10ms or longer"
 
 
 def _servers(file: Scenario) -> Iterator[Breach]:
-    yield from told((_models, _per_core), file.servers)
+    yield from told((_models, _server_values), file.servers)
 
 
 def _models(servers: Servers) -> Iterator[Breach]:
     if not servers.model:
         yield "servers.model", 'at least one is needed: model "NAME" { ... }'
-    yield from _twice("servers.model", [each.name for each in servers.model])
-    for each in servers.model:
-        yield from told((_model,), each)
+    yield from _duplicates("servers.model", [model.name for model in servers.model])
+    for model in servers.model:
+        yield from told((_model,), model)
 
 
-def _model(each: Model) -> Iterator[Breach]:
-    place = f'servers.model["{each.name}"]'
-    if each.speed.low <= 0:
+def _model(model: Model) -> Iterator[Breach]:
+    place = f'servers.model["{model.name}"]'
+    if model.speed.low <= 0:
         yield f"{place}.speed", "must be above 0"
-    if not 0 < each.cold_from.low <= each.cold_from.high <= 1:
-        yield f"{place}.cold_from", "must lie above 0 and at most at 1"
+    if not 0 < model.cold_from.low <= model.cold_from.high <= 1:
+        yield f"{place}.cold_from", "must be above 0 and at most 1"
 
 
-def _per_core(servers: Servers) -> Iterator[Breach]:
+def _server_values(servers: Servers) -> Iterator[Breach]:
     if servers.per_core.low <= 0:
         yield "servers.per_core", "must be above 0"
     if servers.group_cost and not servers.group_size:
-        yield "servers.group_size", "must be above 0 where groups cost"
+        yield "servers.group_size", "must be above 0 where group_cost is"
     if servers.report_period.low <= 0:
         yield "servers.report_period", "must be above 0s"
 
 
 def _clients(file: Scenario) -> Iterator[Breach]:
-    yield from told((_life,), file.clients)
+    yield from told((_client_values,), file.clients)
 
 
-def _life(clients: Clients) -> Iterator[Breach]:
+def _client_values(clients: Clients) -> Iterator[Breach]:
     if clients.life.low < 1_000_000:
         yield "clients.life", "must be 1ms or longer"
 
 
 def _network(file: Scenario) -> Iterator[Breach]:
-    yield from told((_times,), file.network)
+    yield from told((_network_times,), file.network)
 
 
-def _times(network: Network) -> Iterator[Breach]:
+def _network_times(network: Network) -> Iterator[Breach]:
     for name in ("same", "cross", "client"):
         if getattr(network, name).high > 10_000_000_000:
-            yield f"network.{name}", "must not be above 10s"
+            yield f"network.{name}", "must not exceed 10s"
 
 
 def _troubles(file: Scenario) -> Iterator[Breach]:
-    for number, each in enumerate(file.trouble):
-        yield from told((partial(_trouble, file, number),), each)
-
-
-def _trouble(file: Scenario, number: int, each: Trouble) -> Iterator[Breach]:
-    place = f'trouble["{each.name}"]'
-    if each.at.high > file.seconds:
-        yield f"{place}.at", f"is past the end of the day ({file.seconds})"
-    if each.zone is not None and each.zone >= len(file.zones):
-        yield f"{place}.zone", f"there are only {len(file.zones)} zones, counted from 0"
-    if each.name in _PARTS and not 0 <= each.part.low <= each.part.high <= 1:
-        yield f"{place}.part", "must lie between 0 and 1"
-    if each.name in _SIZED and each.size <= _SIZED[each.name][0] and each.name != "shrink":
-        least, unit = _SIZED[each.name]
-        yield f"{place}.size", f"must be above {least:g} ({unit})"
-    if each.name == "pauses" and (each.size <= 0 or each.period.low <= 0):
-        yield f"{place}.size", "must be above 0: the ms for which a server stands still, every period"
-    if each.name == "neighbour" and not (0 < each.size < 1 and each.period.low > 0):
-        yield f"{place}.size", "must lie between 0 and 1: the share of the machine that is taken, every other period"
-    if each.name == "deploy" and not 0 < each.size <= 1:
-        yield f"{place}.size", "must lie above 0 and at most at 1: the share of the fleet replaced at a time"
-
-
-def _twice(place: str, names: list[str]) -> Iterator[Breach]:
+    for number, trouble in enumerate(file.trouble):
+        yield from told((partial(_trouble, file, number),), trouble)
+
+
+def _trouble(file: Scenario, number: int, trouble: Trouble) -> Iterator[Breach]:
+    place = f'trouble["{trouble.name}"]'
+    if trouble.at.high > file.seconds:
+        yield f"{place}.at", f"must not be after the end of the day ({file.seconds})"
+    if trouble.zone is not None and trouble.zone >= len(file.zones):
+        yield f"{place}.zone", f"must be below the number of zones, {len(file.zones)}: zones are counted from 0"
+    if trouble.name in _KINDS_WITH_PART and not 0 <= trouble.part.low <= trouble.part.high <= 1:
+        yield f"{place}.part", "must be between 0 and 1"
+    if trouble.name in _MIN_SIZES and trouble.size <= _MIN_SIZES[trouble.name][0] and trouble.name != "shrink":
+        minimum, unit = _MIN_SIZES[trouble.name]
+        yield f"{place}.size", f"must be above {minimum:g} ({unit})"
+    if trouble.name == "pauses" and (trouble.size <= 0 or trouble.period.low <= 0):
+        yield f"{place}.size", "must be above 0, as must period: the ms for which a server pauses, once every period"
+    if trouble.name == "neighbour" and not (0 < trouble.size < 1 and trouble.period.low > 0):
+        yield (
+            f"{place}.size",
+            "must be between 0 and 1 with period above 0: the share of the machine taken in every other period",
+        )
+    if trouble.name == "deploy" and not 0 < trouble.size <= 1:
+        yield f"{place}.size", "must be above 0 and at most 1: the share of the fleet replaced at a time"
+
+
+def _duplicates(place: str, names: list[str]) -> Iterator[Breach]:
     for name in sorted({name for name in names if names.count(name) > 1}):
-        yield f'{place}["{name}"]', "stands twice"
+        yield f'{place}["{name}"]', "is defined twice"
     if "" in names:
         yield place, "needs a name"
 
--- a/scaledeal/lab/scenario/types.py
+++ b/scaledeal/lab/scenario/types.py
@@ -1,4 +1,7 @@
-"""What a scenario may say. A ``Span`` or ``Times`` is a range of which each run, or each member, draws its own."""
+"""The blocks and values of a scenario file.
+
+A ``Span`` (numbers) or ``Times`` (durations) is a range from which each run, or each member of it, draws a value.
+"""
 
 from __future__ import annotations
 
@@ -11,71 +14,71 @@
 MS = 1_000_000
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=80)]
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
-Some = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
+PositiveCount = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
 Share = Annotated[float, msgspec.Meta(ge=0, le=1)]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-Amount = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 def span(low: float, high: float | None = None) -> Span:
-    """Return a range of numbers."""
+    """Return a range of numbers; without ``high``, the single value ``low``."""
     return Span((low, low if high is None else high))
 
 
-def times(low: float, high: float | None = None) -> Times:
-    """Return a range of durations, told in ms."""
+def durations_ms(low: float, high: float | None = None) -> Times:
+    """Return a range of durations given in ms; without ``high``, the single value ``low``."""
     return Times((int(low * MS), int((low if high is None else high) * MS)))
 
 
 class Block(msgspec.Struct, frozen=True, kw_only=True):
-    """One block of a scenario."""
+    """Base class of the blocks of a scenario."""
 
 
 class Model(Block, frozen=True):
-    """A kind of machine."""
+    """A machine model of tile servers."""
 
     name: str = ""
-    share: Positive = 1.0  # of the fleet, over the sum of all models' shares
-    cores: Some = 3
-    speed: Span = span(1.0)  # of a core; one that does the work stated for a reference core is 1
-    cap: Count = 0  # connections that it can hold; 0: any number
-    cold_from: Span = span(0.4)  # share of its capacity with which it starts
-    cold: Times = times(6000)  # time until it is warm, growing evenly
+    share: Positive = 1.0  # weight of the model in the fleet, relative to the sum over all models
+    cores: PositiveCount = 3
+    speed: Span = span(1.0)  # of a core, relative to a reference core
+    cap: Count = 0  # maximum number of connections; 0: unlimited
+    cold_from: Span = span(0.4)  # share of its capacity at the start of the process
+    cold: Times = durations_ms(6000)  # warm-up time, over which capacity grows linearly
 
 
 class Servers(Block, frozen=True):
     """The tile servers."""
 
-    count: Some = 14
+    count: PositiveCount = 14
     model: tuple[Model, ...] = (Model(name="plain"),)
-    # What the list tells: cores times speed; cores; or cores over 1 and the connections held for each of them.
+    # Weight in the discovery list: none 1; nominal cores * speed; rough cores; live cores / (1 + connections per core).
     weights: Literal["none", "nominal", "rough", "live"] = "rough"
-    per_core: Span = span(15)  # connections of mean load that fill a reference core
-    setup: Times = times(8)  # work of a reference core for a set-up
+    per_core: Span = span(15)  # connections of mean load that saturate a reference core
+    setup: Times = durations_ms(8)  # work of a set-up, in time of a reference core
     handshakes: Span = span(1, 2)  # round trips before a new connection can carry a line
-    group_cost: Amount = 0.0  # mean connection loads that a server pays for each group it holds any of
-    group_size: Amount = 0.0  # mean connections of a group over the fleet; 0: there are no groups
-    group_skew: Amount = 1.0  # of the groups' sizes: the exponent of a Zipf law
-    goaway: bool = True  # whether one that drains sends its clients away at once
-    leaves: Times = times(2500, 4000)  # time from the beginning of a drain until the process is gone
-    queue: Times = times(400)  # set-up work that may wait; a new connection beyond it is turned away
-    buffer: Times = times(1500)  # piled up work of messages past which connections are dropped
-    sheds: Literal["heaviest", "newest"] = "heaviest"  # which of them
-    probe: Times = times(0.27)  # work of a reference core for a probe
-    report_period: Times = times(540, 1400)  # how often reports are refreshed
-    report_delay: Times = times(100, 470)  # and how old they are then at least
-    report_noise: Amount = 0.03  # relative deviation
-    tells_load: bool = True
-    message: Positive = 0.08  # a message's time at an idle server, over the class's message aim
+    group_cost: NonNegative = 0.0  # extra load for each group with a connection on the server, in mean connection loads
+    group_size: NonNegative = 0.0  # mean number of connections of a group across the fleet; 0: no groups
+    group_skew: NonNegative = 1.0  # exponent of the Zipf distribution of group sizes
+    goaway: bool = True  # whether a draining server sends its clients away at once
+    leaves: Times = durations_ms(2500, 4000)  # time from the start of a drain until the process exits
+    queue: Times = durations_ms(400)  # maximum queued set-up work; new connections beyond it are refused
+    buffer: Times = durations_ms(1500)  # backlog of message work beyond which connections are dropped
+    sheds: Literal["heaviest", "newest"] = "heaviest"  # which connection is dropped first
+    probe: Times = durations_ms(0.27)  # work of a probe, in time of a reference core
+    report_period: Times = durations_ms(540, 1400)  # refresh interval of load reports
+    report_delay: Times = durations_ms(100, 470)  # minimum age of the values in a refreshed report
+    report_noise: NonNegative = 0.03  # relative standard deviation
+    tells_load: bool = True  # whether the server reports the load of each connection
+    message: Positive = 0.08  # response time of an idle server, relative to the class's ``message``
 
     @property
-    def coldest(self) -> float:
-        """Return the share of its capacity that any server has at the least when it starts, as relays are told."""
+    def min_cold_share(self) -> float:
+        """Return the lowest share of its capacity with which any server starts; relays get it as a setting."""
         return min(model.cold_from.low for model in self.model)
 
     @property
     def warm_after(self) -> int:
-        """Return the ns after which any server is warm, as relays are told."""
+        """Return the ns after which every server is warm; relays get it as a setting."""
         return int(max(model.cold.high for model in self.model))
 
 
@@ -83,119 +86,123 @@
     """A class of connections."""
 
     name: str = ""
-    share: Positive = 1.0  # of new connections, over the sum of all shares
-    aim: Duration = Duration(300 * MS)  # wanted time of a set-up
-    deadline: Duration = Duration(2000 * MS)  # time after which a client gives up a try
-    worth: Amount = 1.0  # of a second in which a connection is well served
-    message: Duration = Duration(150 * MS)  # wanted time of a message
-    load: Span = span(1.0)  # of a connection, over the mean
-    life: Span = span(1.0)  # over the clients' life
-    spread: Amount = 1.0  # sigma of the loads' lognormal law
-    swing: Amount = 0.5  # sigma of a connection's load over time
-    change: Times = times(6000, 18_000)  # how often it changes
+    share: Positive = 1.0  # weight among new connections, relative to the sum over all classes
+    aim: Duration = Duration(300 * MS)  # target time of a set-up
+    deadline: Duration = Duration(2000 * MS)  # time after which a client abandons a request
+    worth: NonNegative = 1.0  # value of one second of a well-served connection
+    message: Duration = Duration(150 * MS)  # target response time of a message
+    load: Span = span(1.0)  # load of a connection, relative to the mean
+    life: Span = span(1.0)  # lifetime of a connection, relative to ``clients.life``
+    spread: NonNegative = 1.0  # sigma of the lognormal distribution of loads
+    swing: NonNegative = 0.5  # sigma of the changes of a connection's load over time
+    change: Times = durations_ms(6000, 18_000)  # interval between load changes of a connection
 
 
 class Tenant(Block, frozen=True):
-    """A customer with a share of the service."""
+    """A tenant with a quota of the fleet's capacity."""
 
     name: str = ""
-    share: Positive = 1.0  # of new connections, over the sum of all tenants' shares
-    quota: Positive = 1.0  # of what the fleet can do: what it asks beyond that is worth less
+    share: Positive = 1.0  # weight among new connections, relative to the sum over all tenants
+    quota: Positive = 1.0  # share of the fleet's capacity; demand beyond it has the worth ``clients.over_worth``
 
 
 class Clients(Block, frozen=True):
-    """Who comes, how often and with what habits."""
+    """Arrival and behaviour of clients."""
 
-    load: Positive = 0.4  # of what the fleet can do, on average
-    life: Times = times(30_000)  # mean time for which a client wants its connection
+    load: Positive = 0.4  # average demand, relative to the fleet's capacity
+    life: Times = durations_ms(30_000)  # mean time for which a client wants a connection
     law: Literal["exponential", "lognormal", "fixed"] = "exponential"
     shape: Literal["steady", "wave", "bursty"] = "steady"
-    swing: Share = 0.3  # how far a wave, or a burst, leaves the mean
-    zone_skew: Share = 0.2  # how far the zones' shares lie from one another
-    standing: bool = True  # whether the day begins with as many connections as it would have by then
-    retries: Count = 2  # of a client whose first tries were refused or failed; one that stood comes until it is done
-    backoff: Times = times(60)  # before a retry; doubles
-    backoff_most: Duration = Duration(2000 * MS)
-    rejoin: Times = times(91, 910)  # from a move or a break until the client comes again
-    honour: Share = 0.65  # of clients that wait as long as BUSY asks
-    impatient: Share = 0.0  # of clients that leave before their time
-    over_worth: Share = 0.1  # worth of what a tenant asks beyond its quota, over the usual
-    bad: Amount = 0.0  # clients a second that send what is no request (host relay)
+    swing: Share = 0.3  # relative amplitude of a wave or burst
+    zone_skew: Share = 0.2  # relative spread of the zones' shares of clients
+    standing: bool = True  # whether the day starts with the steady-state number of connections
+    retries: Count = 2  # of a client that was never connected; one that was connected retries until its time is over
+    backoff: Times = durations_ms(60)  # before the first retry; doubles with each further one
+    backoff_most: Duration = Duration(2000 * MS)  # maximum back-off
+    rejoin: Times = durations_ms(91, 910)  # from a move or a broken connection until the client reconnects
+    honour: Share = 0.65  # share of clients that wait for the time given by BUSY
+    impatient: Share = 0.0  # share of requests that clients abandon before the deadline
+    over_worth: Share = 0.1  # relative worth of a tenant's demand beyond its quota
+    bad: NonNegative = 0.0  # clients per second that send invalid input (host relay only)
 
 
 class Relays(Block, frozen=True):
-    """The relays and the front."""
+    """The relays, and the front's view of them."""
 
-    count: Some = 3
-    notice: Times = times(800, 4000)  # until the front sees that one is dead
-    start: Times = times(800)  # from its start until a relay serves
-    event: Amount = 60.0  # microseconds of a core for each thing that a relay handles
-    cores: Positive = 0.8
-    sockets: Some = 1024
+    count: PositiveCount = 3
+    notice: Times = durations_ms(800, 4000)  # time until the front detects a dead relay
+    start: Times = durations_ms(800)  # time from a relay's start until it serves
+    event: NonNegative = 60.0  # core time per event that a relay handles, in microseconds
+    cores: Positive = 0.8  # available to a relay
+    sockets: PositiveCount = 1024  # descriptor limit of a relay (host relay only)
 
 
 class Discovery(Block, frozen=True):
-    """The list."""
+    """The discovery service and its list of processes."""
 
-    mode: Literal["asked", "pushed"] = "asked"  # one service that handles calls in turn, or an agent at each relay
-    notice: Times = times(540, 4900)  # until it knows that a process drains or has ended
-    silent: Times = times(4000, 12_000)  # the same of a machine that vanished
-    add: Times = times(720, 2400)  # until it knows of a new one
-    period: Times = times(190, 1300)  # its own rounds: changes show at the next
-    line: Duration = Duration(MS // 50)  # time that it takes for each line it sends
-    call: Duration = Duration(MS)  # and for each call
-    patience: Duration = Duration(3000 * MS)  # after which a call that waits fails
+    mode: Literal["asked", "pushed"] = (
+        "asked"  # asked: one service that handles calls in turn; pushed: an agent on each relay's machine
+    )
+    notice: Times = durations_ms(540, 4900)  # delay until it learns that a process drains or has exited
+    silent: Times = durations_ms(4000, 12_000)  # the same for a machine that vanished
+    add: Times = durations_ms(720, 2400)  # delay until it learns of a new process
+    period: Times = durations_ms(190, 1300)  # interval of its rounds: a change is published at the next round
+    line: Duration = Duration(MS // 50)  # service time per list line sent
+    call: Duration = Duration(MS)  # service time per call
+    patience: Duration = Duration(3000 * MS)  # after which a queued call fails
 
 
 class Store(Block, frozen=True):
-    """The session store that every set-up calls."""
+    """The session store, called once per set-up."""
 
-    headroom: Positive = 20.0  # calls that it can take, over the usual rate of set-ups
-    time: Times = times(2)  # of a call
+    headroom: Positive = 20.0  # call capacity, relative to the usual rate of set-ups
+    time: Times = durations_ms(2)  # of one call
 
 
 class Network(Block, frozen=True):
-    """One way times."""
+    """One-way network delays, and connection time-outs."""
 
-    same: Times = times(0.2)
-    cross: Times = times(2.8, 5.2)
-    client: Times = times(0.3, 1.1)
-    jitter: Amount = 0.2  # relative, of each message
-    segment: Some = 1448  # bytes that one segment carries (host relay)
-    dial: Duration = Duration(250 * MS)  # after which a connection that does not come up counts as failed
-    idle: Duration = Duration(5000 * MS)  # after which one without use is closed
+    same: Times = durations_ms(0.2)  # within a zone
+    cross: Times = durations_ms(2.8, 5.2)  # between zones
+    client: Times = durations_ms(0.3, 1.1)  # between a client and a relay
+    jitter: NonNegative = 0.2  # relative, per message
+    segment: PositiveCount = 1448  # payload bytes per segment (host relay only)
+    dial: Duration = Duration(250 * MS)  # time-out of connecting
+    idle: Duration = Duration(5000 * MS)  # after which an unused connection is closed
 
 
 class Rules(Block, frozen=True):
-    """The figures of the rules that are checked, and that the relays are told."""
-
-    attempts: Some = 6
-    drain_grace: Duration = Duration(1000 * MS)
-    fall_multiple: Positive = 3.0
-    fall: Duration = Duration(1000 * MS)
-    slack: Duration = Duration(50 * MS)  # by which all of it may be late
-    line: Duration = Duration(1000 * MS)  # that a line may be held back
-    retry_after: Duration = Duration(1500 * MS)
+    """Limits that the rule checker enforces and that relays get as settings."""
+
+    attempts: PositiveCount = 6  # maximum number of attempts of a request
+    drain_grace: Duration = Duration(1000 * MS)  # after a drain notice, within which attempts may still be sent
+    fall_multiple: Positive = (
+        3.0  # limit of arrivals at a cold server: multiple of the rate that fills it over its warm-up
+    )
+    fall: Duration = Duration(1000 * MS)  # window in which arrivals at a cold server are counted
+    slack: Duration = Duration(50 * MS)  # tolerance of all time limits
+    line: Duration = Duration(1000 * MS)  # maximum time that a line may be held back
+    retry_after: Duration = Duration(1500 * MS)  # maximum wait that BUSY may ask for
     report_fields: tuple[Literal["eps", "inflight", "queue", "x0"], ...] = ("eps", "inflight", "x0")
 
 
 class Goal(Block, frozen=True):
-    """What service is made of: shares of the figure."""
+    """Weights of the components of the service figure; they must add up to 1."""
 
-    whole: Share = 0.5
+    whole: Share = 0.5  # the whole day
     worst_window: Share = 0.2  # the worst ten seconds
     worst_class: Share = 0.3
     worst_tenant: Share = 0.0  # within its quota
 
 
 class Prices(Block, frozen=True):
-    """What costs service: per first visit of a client unless stated otherwise."""
+    """Deductions from the service figure: per first request of a client unless stated otherwise."""
 
-    move: Amount = 0.03
-    cross_zone: Amount = 0.03
-    probe: Amount = 0.0029
-    waste: Amount = 0.3  # set-up work that came to nothing, over all work
-    discovery: Amount = 0.02  # for a hundred list lines
+    move: NonNegative = 0.03
+    cross_zone: NonNegative = 0.03
+    probe: NonNegative = 0.0029
+    waste: NonNegative = 0.3  # per share of all set-up work that was wasted
+    discovery: NonNegative = 0.02  # per hundred list lines
 
 
 Kind = Literal[
@@ -224,23 +231,23 @@
 
 
 class Trouble(Block, frozen=True):
-    """Something that goes wrong from a moment on, for a while."""
+    """A fault that begins at a given time and lasts for a while."""
 
     name: Kind
-    at: Times
-    lasts: Times = times(0)
-    part: Span = span(1.0)  # of those it can befall: servers, relays, or calls
-    size: Amount = 0.0  # how bad: see the page of scenarios
-    period: Times = times(2300)  # of what comes again and again
-    zone: Count | None = None  # which; none: one is drawn
-    one_way: bool = False  # zone_cut: only towards the zone
+    at: Times  # start, from the beginning of the day
+    lasts: Times = durations_ms(0)
+    part: Span = span(1.0)  # share of the affected servers, relays or connections
+    size: NonNegative = 0.0  # severity, in a unit that depends on the kind: see the page on scenarios
+    period: Times = durations_ms(2300)  # interval of recurring events
+    zone: Count | None = None  # index of the affected zone; none: drawn at random
+    one_way: bool = False  # zone_cut: only traffic towards the zone is lost
 
 
 class Scenario(Block, frozen=True, rename={"classes": "class"}):
-    """A whole day."""
+    """A simulated day."""
 
     title: Name = "unnamed"
-    base: str = ""  # a ready scenario that this one builds on
+    base: str = ""  # name of a bundled scenario whose values are the defaults
     seconds: Duration = Duration(50_000 * MS)
     zones: tuple[Name, ...] = ("a", "b", "c")
     servers: Servers = Servers()
--- a/scaledeal/lab/world/server.py
+++ b/scaledeal/lab/world/server.py
@@ -399,7 +399,7 @@
         """
         rules, servers = self.day.rules, self.day.servers
         age = (self.kernel.now - self.started) / servers.warm_after
-        capacity = self.power / self.means.mean_work * (servers.coldest + (1 - servers.coldest) * age)
+        capacity = self.power / self.means.mean_work * (servers.min_cold_share + (1 - servers.min_cold_share) * age)
         return rules.fall_multiple * capacity * rules.fall / servers.warm_after
 
     def _look_soon(self) -> None:
--- a/scaledeal/lab/world/told.py
+++ b/scaledeal/lab/world/told.py
@@ -46,7 +46,7 @@
         "Prices": {"Moves": day.prices.move, "Probe": day.prices.probe, "CrossZone": day.prices.cross_zone},
         "Report": {"Fields": [_WORDS[name] for name in day.rules.report_fields], "Via": "probe"},
         "Rules": {
-            "ColdFrom": day.servers.coldest,
+            "ColdFrom": day.servers.min_cold_share,
             "WarmAfter": day.servers.warm_after,
             "OverloadFactor": day.rules.fall_multiple,
             "Fall": int(day.rules.fall),
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -17,7 +17,7 @@
 from scaledeal.lab.hosts.relay.host import RelayHost, quiet
 from scaledeal.lab.runs import Job, Variant, play
 from scaledeal.lab.runs.play import module_from
-from scaledeal.lab.scenario import load, ready
+from scaledeal.lab.scenario import bundled_scenarios, load
 from scaledeal.lab.scenario.reading import load_text
 from scaledeal.lab.scenario.types import Scenario
 from scaledeal.lab.truth import BrokenRuleError, Service, Violation
@@ -364,7 +364,7 @@
 @pytest.mark.parametrize(
     ("over", "wrong"),
     [
-        ("goal {\n  whole = 0.9\n}\n", "must come to 1"),
+        ("goal {\n  whole = 0.9\n}\n", "must add up to 1"),
         ("goal {\n  whole = 0.4\n  worst_tenant = 0.1\n}\n", "without tenants"),
         ('trouble "neighbour" {\n  at = "1s"\n  size = 1\n}\n', "share of the machine"),
         ('trouble "slow" {\n  at = "1s"\n  size = 1\n}\n', "times slower"),
@@ -377,6 +377,6 @@
 
 
 def test_every_ready_scenario_can_be_read():
-    assert len(ready()) >= 17
-    for name in ready():
+    assert len(bundled_scenarios()) >= 17
+    for name in bundled_scenarios():
         assert msgspec.structs.asdict(load(name))["classes"], name
