--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -124,7 +124,7 @@
             self.timer.cancel()
         if (held := self.held) is not None:
             # For the rule of one attempt it is over when the relay has closed it: the server's hearing lags.
-            self.host.fleet.witness.ended(held.id, self.server.name, self.host.fleet.kernel.now)
+            self.host.fleet.checker.attempt_closed(held.id, self.server.name, self.host.fleet.kernel.now)
             self.host.fleet.kernel.after(self.host.way(self.server), lambda: self.server.leave(held))
 
     def _arrives(self) -> None:
@@ -136,7 +136,7 @@
             return
         self.held = fleet.crowd.held(self.flight.client, self)
         self.held.id = self.flight.id
-        fleet.witness.arrived(self.flight.id, self.server.name, fleet.kernel.now)
+        fleet.checker.attempt_arrived(self.flight.id, self.server.name, fleet.kernel.now)
         self.server.arrive(self.held)
 
     def _up(self) -> None:
@@ -216,7 +216,7 @@
         except BrokenRuleError:
             raise
         except Exception as error:  # the module's failure is its relay's crash: told as that, the world goes on
-            self.fleet.witness.crashed(self.door.name, now, f"{type(error).__name__}: {error}")
+            self.fleet.checker.relay_crashed(self.door.name, now, f"{type(error).__name__}: {error}")
             self.host.kill(self.door.number)
             return
         self._busy_until = now + self._cost * (1 + len(actions))
@@ -231,7 +231,7 @@
         flight = Flight(f"r{self._numbered}", client, client.id, client.asked_at + client.kind.deadline)
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
-        fleet.witness.asked(client.id, self.door.name, now, flight.deadline)
+        fleet.checker.request_written(client.id, self.door.name, now, flight.deadline)
         self.post(
             api.Request(
                 flight.name,
@@ -252,7 +252,7 @@
         flight.attempt = Attempt(self, flight, server, 0)
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
-        self.fleet.witness.standing(client.id, self.door.name, server.name, self.fleet.kernel.now)
+        self.fleet.checker.initial_connection(client.id, self.door.name, server.name, self.fleet.kernel.now)
         held = flight.attempt.held = self.fleet.crowd.held(client, flight.attempt)
         self.post(api.OpenConnection(flight.name, client.cls, server.name, client.key, client.group, client.tenant))
         server.stands_already(held)
@@ -316,14 +316,14 @@
             self.post(api.Outcome(flight.name, flight.number, action.server, api.Result.NOT_SENT, 0, flight.answered))
             return
         if flight.attempt is not None and not flight.attempt.over:
-            self.fleet.witness.arrived(flight.id, action.server, now)  # two at once: told as what it is
+            self.fleet.checker.attempt_arrived(flight.id, action.server, now)  # two at once: told as what it is
         server = self.fleet.servers[action.server]
         if flight.number == 0:
-            self.fleet.service.took(self.fleet.service.first_try, now - flight.client.asked_at)
+            self.fleet.service.record_duration(self.fleet.service.first_attempt_ms, now - flight.client.asked_at)
         self.fleet.service.count("attempts", now)
         if server.zone != self.door.zone:
             self.fleet.service.count("far", now)
-        self.fleet.witness.sent(flight.id, server.name, self.door.name, now)
+        self.fleet.checker.attempt_sent(flight.id, server.name, self.door.name, now)
         flight.attempt = Attempt(self, flight, server, flight.number)
         flight.attempt.begin(min(action.timeout or left, left))
 
@@ -407,15 +407,15 @@
             self.watching = False
             self.post(api.Membership(api.MembershipKind.LOST))
             return
-        now, witness = self.fleet.kernel.now, self.fleet.witness
+        now, witness = self.fleet.kernel.now, self.fleet.checker
         self.fleet.service.count("lines", now, len(answer.entries))
         for entry in answer.entries:
-            witness.told(self.door.name, entry.name, entry.status, entry.since_ms > 0, now)
+            witness.discovery_entry_received(self.door.name, entry.name, entry.status, entry.since_ms > 0, now)
         if answer.snapshot:
             named = {entry.name for entry in answer.entries}
             for name in self.fleet.servers:
                 if name not in named:
-                    witness.told(self.door.name, name, "left", False, now)
+                    witness.discovery_entry_received(self.door.name, name, "left", False, now)
         self.index = answer.index
         self._call()
         self.post(membership(self.fleet, answer))
@@ -491,7 +491,7 @@
         for relay in self.relays:
             if relay.alive:
                 waiting = sum(not flight.stands and not flight.answered for flight in relay.flights.values())
-                fleet.witness.owns(relay.door.name, "requests", waiting, fleet.kernel.now)
+                fleet.checker.resources_left(relay.door.name, "requests", waiting, fleet.kernel.now)
 
     # Clients
 
@@ -528,7 +528,7 @@
         relay = self.relays[number]
         if not relay.alive:
             return
-        self.fleet.witness.relay_died(relay.door.name, self.fleet.kernel.now)
+        self.fleet.checker.relay_died(relay.door.name, self.fleet.kernel.now)
         relay.dies()
         low, high = self.fleet.day.relays.notice
         self.fleet.kernel.after(int(relay.draw.uniform(low, high) if low < high else low), lambda: self._notice(relay))
@@ -606,7 +606,9 @@
         known = tuple(entry for entry in directory.entries.values() if entry.status != "left")
         relay.index = directory.index
         for entry in known:
-            self.fleet.witness.told(door.name, entry.name, entry.status, entry.since_ms > 0, self.fleet.kernel.now)
+            self.fleet.checker.discovery_entry_received(
+                door.name, entry.name, entry.status, entry.since_ms > 0, self.fleet.kernel.now
+            )
         event = membership(self.fleet, Answer(directory.index, True, known))
         relay.post(initial(event))
         if directory.pushed:
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -94,7 +94,7 @@
     def crashed(self, why: BaseException) -> None:
         """Hear that the program failed."""
         fleet = self.host.fleet
-        fleet.witness.crashed(self.door.name, fleet.kernel.now, f"{type(why).__name__}: {why}")
+        fleet.checker.relay_crashed(self.door.name, fleet.kernel.now, f"{type(why).__name__}: {why}")
         self.host.kill(self.door.number)
 
     def exits(self) -> None:
@@ -189,7 +189,7 @@
                 return
             fleet = self.fleet
             now = fleet.kernel.now
-            fleet.witness.asked(id, door.name, now, now + (STOOD if at else client.kind.deadline))
+            fleet.checker.request_written(id, door.name, now, now + (STOOD if at else client.kind.deadline))
             self.ends[id] = ClientEnd(self, client, door, end, at)
 
         def failed() -> None:
@@ -240,8 +240,8 @@
 
     def held_at(self, id: str) -> bool:
         """Tell whether a server that answers holds a connection."""
-        case = self.fleet.witness.cases.get(id)
-        server = self.fleet.servers.get(case.out) if case is not None else None
+        case = self.fleet.checker.requests.get(id)
+        server = self.fleet.servers.get(case.open_at) if case is not None else None
         return server is not None and id in server.held and not server.stands_still()
 
     def alive(self, door: Door) -> bool:
@@ -263,7 +263,7 @@
         running = self.running[number]
         if not running.alive:
             return
-        self.fleet.witness.relay_died(running.door.name, self.fleet.kernel.now)
+        self.fleet.checker.relay_died(running.door.name, self.fleet.kernel.now)
         running.ends()
         low, high = self.fleet.day.relays.notice
         self.fleet.kernel.after(
@@ -293,7 +293,7 @@
     def exited(self, running: Running) -> None:
         """Hear that a relay ended by itself, as it was told."""
         running.ends()
-        self.fleet.witness.relay_died(running.door.name, self.fleet.kernel.now)
+        self.fleet.checker.relay_died(running.door.name, self.fleet.kernel.now)
         self._start_later(running)
 
     def config(self, running: Running) -> Config:
@@ -306,7 +306,9 @@
             for each in known
         )
         for entry in known:
-            fleet.witness.told(door.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now)
+            fleet.checker.discovery_entry_received(
+                door.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now
+            )
         host, port = self.address(door)
         return Config(
             door.name,
@@ -374,10 +376,10 @@
         listening = sum(each.machine is running.machine for each in self.net.listeners.values())
         watching = 1  # the watch of the list
         left = running.process.held - OWN - listening - watching
-        fleet.witness.owns(name, "descriptors", max(0, left), fleet.kernel.now)
-        fleet.witness.owns(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
-        fleet.witness.owns(name, "flights", len(relay.driver.balancer.flights), fleet.kernel.now)
-        fleet.witness.owns(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
+        fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
+        fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
+        fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.flights), fleet.kernel.now)
+        fleet.checker.resources_left(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
 
 
 @contextlib.contextmanager
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -123,7 +123,7 @@
             self._opens(found)
         else:
             self.say(b"SYNTAX")
-            self.host.fleet.witness.line("wire", self.host.fleet.kernel.now, 0, False)
+            self.host.fleet.checker.line_received("wire", self.host.fleet.kernel.now, 0, False)
 
     def ended(self, broke: bool) -> None:
         """Hear that the relay ended the connection."""
@@ -185,15 +185,15 @@
         id = found[1].decode()
         client = self.host.clients.get(id)
         if client is None:
-            fleet.witness.arrived(id, self.server.name, fleet.kernel.now)
+            fleet.checker.attempt_arrived(id, self.server.name, fleet.kernel.now)
             self.say(b"SYNTAX")
             return
         standing = b"at=" in found[3]
         way = int(fleet.paths.times[self.host.zone_of(self.relay)][self.server.zone] * (1 + fleet.day.network.jitter))
-        fleet.witness.sent(id, self.server.name, self.relay, fleet.kernel.now - way)  # the moment of its first byte
+        fleet.checker.attempt_sent(id, self.server.name, self.relay, fleet.kernel.now - way)  # at its first byte
         self.held = fleet.crowd.held(client, self)
         self.held.id = id
-        fleet.witness.arrived(id, self.server.name, fleet.kernel.now)
+        fleet.checker.attempt_arrived(id, self.server.name, fleet.kernel.now)
         if not standing:
             fleet.service.count("attempts", fleet.kernel.now)
             if self.server.zone != self.host.zone_of(self.relay):
@@ -207,7 +207,7 @@
     def _given_up(self) -> None:
         """See the relay close its end: for the rule of one attempt that moment counts, not when its server hears."""
         if self.held is not None:
-            self.host.fleet.witness.ended(self.held.id, self.server.name, self.host.fleet.kernel.now)
+            self.host.fleet.checker.attempt_closed(self.held.id, self.server.name, self.host.fleet.kernel.now)
 
     def _message(self, line: bytes) -> None:
         self.todo.append(line)
@@ -334,12 +334,12 @@
 def told(fleet: Fleet, relay: str, answer: Answer, now: int) -> None:
     """Have the witness see what a relay is told."""
     for entry in answer.entries:
-        fleet.witness.told(relay, entry.name, entry.status, entry.since_ms > 0, now)
+        fleet.checker.discovery_entry_received(relay, entry.name, entry.status, entry.since_ms > 0, now)
     if answer.snapshot:
         named = {entry.name for entry in answer.entries}
         for name in fleet.servers:
             if name not in named:
-                fleet.witness.told(relay, name, "left", False, now)
+                fleet.checker.discovery_entry_received(relay, name, "left", False, now)
 
 
 class DirectoryListener:
@@ -397,7 +397,7 @@
             if not self.host.alive(self.door):
                 client.broken(True)
             else:
-                self.host.fleet.witness.cut(self.id, holder, self.host.fleet.kernel.now)
+                self.host.fleet.checker.connection_cut(self.id, holder, self.host.fleet.kernel.now)
                 client.broken()
         elif self.host.alive(self.door) and self.host.took(self.door):
             client.failed()  # closed without a word
@@ -416,7 +416,7 @@
         if client.id != self.id:
             return
         if self.standing:
-            self.host.fleet.witness.answered(self.id, self.host.fleet.kernel.now, "UP")
+            self.host.fleet.checker.answer_received(self.id, self.host.fleet.kernel.now, "UP")
             client.asking, client.up, client.stood = False, True, True
             client.finish_at_end()
         else:
@@ -427,7 +427,7 @@
         if self.client.id != self.id:
             return
         if self.answered:
-            self.host.fleet.witness.answered(self.id, self.host.fleet.kernel.now, word.decode())
+            self.host.fleet.checker.answer_received(self.id, self.host.fleet.kernel.now, word.decode())
             return
         self.answered = True
         if word == b"BUSY":
@@ -447,7 +447,7 @@
             self.client.moved()
         elif word == b"SAME":
             number = int(rest)
-            self.host.fleet.witness.line(self.id, self.host.fleet.kernel.now, 0, number == self.heard + 1)
+            self.host.fleet.checker.line_received(self.id, self.host.fleet.kernel.now, 0, number == self.heard + 1)
             self.heard = number
 
     def _message(self) -> None:
--- a/scaledeal/lab/runs/play.py
+++ b/scaledeal/lab/runs/play.py
@@ -130,7 +130,7 @@
         job.variant.name,
         fleet.service.result(),
         fleet.service.series(),
-        tuple(map(str, fleet.witness.violations)),
+        tuple(map(str, fleet.checker.violations)),
         error,
         fleet.kernel.executed,
         round(time.monotonic() - began, 2),
--- a/scaledeal/lab/scenario/types.py
+++ b/scaledeal/lab/scenario/types.py
@@ -176,9 +176,7 @@
 
     attempts: PositiveCount = 6  # maximum number of attempts of a request
     drain_grace: Duration = Duration(1000 * MS)  # after a drain notice, within which attempts may still be sent
-    fall_multiple: Positive = (
-        3.0  # limit of arrivals at a cold server: multiple of the rate that fills it over its warm-up
-    )
+    fall_multiple: Positive = 3.0  # limit of arrivals at a cold server, over the rate that fills it in its warm-up
     fall: Duration = Duration(1000 * MS)  # window in which arrivals at a cold server are counted
     slack: Duration = Duration(50 * MS)  # tolerance of all time limits
     line: Duration = Duration(1000 * MS)  # maximum time that a line may be held back
--- a/scaledeal/lab/truth/__init__.py
+++ b/scaledeal/lab/truth/__init__.py
@@ -1,10 +1,11 @@
-"""What really happened in a run, apart from what any relay says: service as operators count it, and the rules.
+"""Measures what happened in a run, independent of what any relay reports: the service delivered, and broken rules.
 
-``service`` books worth, prices and times; ``witness`` holds the rules against what clients and servers saw. Neither
-knows a host or a model of the world. May import numpy and hdrhistogram, and the scenario's types.
+``service`` accounts for worth, prices and times; ``rule_checker`` checks the rules against what clients and servers
+observed. Neither depends on a host or on the models of the world. This package may import numpy, hdrhistogram and the
+scenario types.
 """
 
+from scaledeal.lab.truth.rule_checker import BrokenRuleError, RuleChecker, Violation
 from scaledeal.lab.truth.service import Service
-from scaledeal.lab.truth.witness import BrokenRuleError, Violation, Witness
 
-__all__ = ["BrokenRuleError", "Service", "Violation", "Witness"]
+__all__ = ["BrokenRuleError", "RuleChecker", "Service", "Violation"]
--- a/scaledeal/lab/world/clients.py
+++ b/scaledeal/lab/world/clients.py
@@ -16,7 +16,7 @@
 
 from scaledeal.lab.kernel import Kernel, ScheduledCall, Streams
 from scaledeal.lab.scenario.types import Class, Scenario
-from scaledeal.lab.truth import Service, Witness
+from scaledeal.lab.truth import RuleChecker, Service
 from scaledeal.lab.world.server import Held
 
 MS = 1_000_000
@@ -59,7 +59,7 @@
     @property
     def cell(self) -> int:
         """Return where its service is booked."""
-        return self.cls * self.crowd.service.tenants + self.tenant
+        return self.cls * self.crowd.service.tenant_count + self.tenant
 
     @property
     def kind(self) -> Class:
@@ -98,10 +98,10 @@
     def is_up(self) -> None:
         """Hear UP."""
         now = self.crowd.kernel.now
-        self.crowd.witness.answered(self.id, now, "UP")
+        self.crowd.checker.answer_received(self.id, now, "UP")
         self._stop()
         self.asking, self.up, self.stood, self.tries = False, True, True, 0
-        self.crowd.service.took(self.crowd.service.set_up, now - self.asked_at)
+        self.crowd.service.record_duration(self.crowd.service.set_up_ms, now - self.asked_at)
         self.finish_at_end()
 
     def refused(self, wait: int) -> None:
@@ -120,12 +120,12 @@
         """Hear that the connection broke."""
         self.crowd.service.count("broken", self.crowd.kernel.now)
         if unanswered:
-            self.crowd.witness.left(self.id, self.crowd.kernel.now)
+            self.crowd.checker.client_left(self.id, self.crowd.kernel.now)
         self._gone()
 
     def turned_off(self) -> None:
         """Hear that no relay took the connection: it was refused or reset before it asked."""
-        self.crowd.witness.forget(self.id)
+        self.crowd.checker.forget(self.id)
         self._stop()
         self.asking = False
         self._again(200 * MS)
@@ -134,10 +134,10 @@
 
     def _refusal(self, word: str, what: str, wait: int) -> None:
         if not self.asking:
-            self.crowd.witness.answered(self.id, self.crowd.kernel.now, word)
+            self.crowd.checker.answer_received(self.id, self.crowd.kernel.now, word)
             return
         crowd, now = self.crowd, self.crowd.kernel.now
-        crowd.witness.answered(self.id, now, word)
+        crowd.checker.answer_received(self.id, now, word)
         crowd.service.count(what, now)
         self._stop()
         self.asking = False
@@ -163,7 +163,7 @@
 
     def _impatient(self) -> None:
         if self.asking:
-            self.crowd.witness.left(self.id, self.crowd.kernel.now)
+            self.crowd.checker.client_left(self.id, self.crowd.kernel.now)
             self.crowd.host.leave(self)
             self.asking = False
             self.tries += 1
@@ -171,7 +171,7 @@
 
     def _time_up(self) -> None:
         if self.asking:
-            self.crowd.witness.due(self.id, self.crowd.kernel.now)
+            self.crowd.checker.deadline_passed(self.id, self.crowd.kernel.now)
             self._impatient()
 
     def _finish(self) -> None:
@@ -180,7 +180,7 @@
         self.over = True
         self._stop()
         if self.up or self.asking:
-            self.crowd.witness.left(self.id, self.crowd.kernel.now)
+            self.crowd.checker.client_left(self.id, self.crowd.kernel.now)
             self.crowd.host.leave(self)
         self.up = self.asking = False
         self.crowd.left(self)
@@ -196,11 +196,11 @@
     """All clients of a run."""
 
     def __init__(
-        self, kernel: Kernel, day: Scenario, streams: Streams, service: Service, witness: Witness, power: float
+        self, kernel: Kernel, day: Scenario, streams: Streams, service: Service, checker: RuleChecker, power: float
     ) -> None:
         """``power`` is what the fleet can do, in reference cores."""
         self.kernel, self.day, self.streams = kernel, day, streams
-        self.service, self.witness = service, witness
+        self.service, self.checker = service, checker
         self.host: Host = None  # type: ignore[assignment]  # set once there is one
         self.draw = streams.of("clients")
         per_core = _draw(self.draw, day.servers.per_core)
@@ -261,7 +261,7 @@
             draw,
         )
         self.here[client.number] = client
-        self.service.wants(client.cell, client.since, client.done_at)
+        self.service.record_wanted(client.cell, client.since, client.done_at)
         self.service.count("standing" if standing else "clients", self.kernel.now)
         return client
 
--- a/scaledeal/lab/world/fleet.py
+++ b/scaledeal/lab/world/fleet.py
@@ -13,7 +13,7 @@
 
 from scaledeal.lab.kernel import Kernel, Station, Streams
 from scaledeal.lab.scenario.types import Model, Scenario
-from scaledeal.lab.truth import Service, Witness
+from scaledeal.lab.truth import RuleChecker, Service
 from scaledeal.lab.world.clients import Client, Crowd
 from scaledeal.lab.world.directory import Directory, Entry
 from scaledeal.lab.world.network import Paths
@@ -76,7 +76,7 @@
         self.day, self.seed = day, seed
         self.streams = Streams(seed)
         self.kernel = Kernel(self.streams.of("ties") if shuffle else None)
-        self.witness = Witness(day.rules, stop)
+        self.checker = RuleChecker(day.rules, stop)
         self.service = Service(day)
         self.paths = Paths(day, self.streams)
         self.directory = Directory(self.kernel, day, self.streams)
@@ -87,7 +87,7 @@
         self.models = self._models()
         self.server_rate = 0.0
         power = sum(model.cores * (model.speed.low + model.speed.high) / 2 for model in self.models)
-        self.crowd = Crowd(self.kernel, day, self.streams, self.service, self.witness, power)
+        self.crowd = Crowd(self.kernel, day, self.streams, self.service, self.checker, power)
         self.store = Station(self.kernel, 1)
         self.store_slow = 1.0
         for model in self.models:
@@ -170,7 +170,7 @@
             model,
             self.streams.of("server", name),
             self.service,
-            self.witness,
+            self.checker,
             self.store,
             self.store_time,
             self.crowd,
--- a/scaledeal/lab/world/server.py
+++ b/scaledeal/lab/world/server.py
@@ -24,7 +24,7 @@
 
 from scaledeal.lab.kernel import Kernel, Station
 from scaledeal.lab.scenario.types import Model, Scenario
-from scaledeal.lab.truth import Service, Witness
+from scaledeal.lab.truth import RuleChecker, Service
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -94,14 +94,14 @@
         model: Model,
         draw: np.random.Generator,
         service: Service,
-        witness: Witness,
+        checker: RuleChecker,
         store: Station,
         store_time: Callable[[], int],
         means: Means,
         started: int = 0,
     ) -> None:
         self.kernel, self.day, self.model, self.draw = kernel, day, model, draw
-        self.service, self.witness = service, witness
+        self.service, self.checker = service, checker
         self.store, self.store_time = store, store_time
         self.name, self.zone, self.started = name, zone, started
         self.means = means
@@ -114,7 +114,7 @@
         self.phase = int(draw.integers(0, self.period))
         self.held: dict[str, Held] = {}
         self.groups: dict[str, int] = {}
-        self.counts = [0] * len(day.classes) * service.tenants  # connections that stand, by class and tenant
+        self.counts = [0] * len(day.classes) * service.tenant_count  # connections that stand, by class and tenant
         self.told = 0.0  # loads of those that stand, in reference cores
         self.piled = 0.0  # seconds of its own work
         self.tills = Station(kernel, model.cores, patience=None)
@@ -285,12 +285,12 @@
     def _book(self, asked: float, piled: float, span: float) -> None:
         for cell, count in enumerate(self.counts):
             if count:
-                wanted = self.day.classes[cell // self.service.tenants].message / SECOND
+                wanted = self.day.classes[cell // self.service.tenant_count].message / SECOND
                 left = max(0.0, wanted - piled)
                 share = 1 - math.exp(-max(0.0, 1 - asked) * left / (self.day.servers.message * wanted))
                 if asked >= 1 and piled <= 0:
                     share = 0.0
-                self.service.earned(cell, self._seen, span, share * count)
+                self.service.record_served(cell, self._seen, span, share * count)
 
     def _shed(self) -> None:
         standing = [held for held in self.held.values() if held.stands]  # in the order in which they came
@@ -312,7 +312,7 @@
 
     def _set_up(self, held: Held, work: float, took: float) -> None:
         self.coming = max(0.0, self.coming - work)
-        self.service.worked(work, held.over)
+        self.service.record_set_up_work(work, held.over)
         if not held.over:
             self.store.submit(self.store_time(), lambda called: self._called(held, called))
 
@@ -363,7 +363,7 @@
             return
         held.over = True
         self.held.pop(held.id, None)
-        self.witness.ended(held.id, self.name, self.kernel.now)
+        self.checker.attempt_closed(held.id, self.name, self.kernel.now)
         if held.stands:
             self.counts[held.cell] -= not held.silent
             self.told = max(0.0, self.told - held.load)
@@ -389,7 +389,7 @@
         self._arrived.append((now, held.seat.relay, self.means.works[held.cls]))
         allowed = self.allowed()
         if sum(work for *_, work in self._arrived) > allowed + 2 * math.sqrt(allowed) + 2:
-            self.witness.pushed_over(self.name, now, [relay for _, relay, _ in self._arrived], allowed)
+            self.checker.cold_server_overloaded(self.name, now, [relay for _, relay, _ in self._arrived], allowed)
             self.die()
 
     def allowed(self) -> float:
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -155,7 +155,7 @@
     fleet.kernel.run(SECOND)
     server = fleet.start_server(fleet.models[0])
     for number in range(told):
-        fleet.witness.told(f"r{number}", server.name, "active", True, fleet.kernel.now)
+        fleet.checker.discovery_entry_received(f"r{number}", server.name, "active", True, fleet.kernel.now)
     fleet.kernel.run(fleet.kernel.now + age)
     return fleet, server
 
@@ -182,7 +182,7 @@
     fleet, server = cold(int(age * SECOND))
     assert server.cold_time < 3.9 * SECOND, "a server that warms up sooner than the settings tell"
     assert flood(fleet, server) == int(limit(server, age)) + 1
-    assert [each.rule for each in fleet.witness.violations] == ["cold servers"]
+    assert [each.rule for each in fleet.checker.violations] == ["cold servers"]
 
 
 def test_a_cold_server_forgets_what_came_before_the_window_and_no_sooner():
@@ -201,7 +201,7 @@
     for told, broken in ((2, 0), (3, 1)):  # half of the senders were told, and three quarters
         fleet, server = cold(SECOND, told=told)
         flood(fleet, server)
-        assert not server.alive and len(fleet.witness.violations) == broken, told
+        assert not server.alive and len(fleet.checker.violations) == broken, told
 
 
 def test_a_request_counts_at_a_cold_server_by_the_work_of_its_class():
@@ -256,7 +256,7 @@
     monkeypatch.setattr(UserAgent, "move", lambda agent: agent.reset())
     broken = run(day(troubles=("relay_restart",)), "relay").broken
     assert broken is not None and broken.rule == "cut", broken
-    assert any("asked at" in line for line in broken.trace), "the trace of the id belongs to it"
+    assert any("requested at" in line for line in broken.trace), "the trace of the id belongs to it"
 
 
 def test_a_descriptor_that_nobody_gives_back_is_seen(monkeypatch: pytest.MonkeyPatch):
@@ -271,7 +271,7 @@
 def test_a_relay_that_crashes_is_told_and_the_world_goes_on():
     fleet = Fleet(day(), 1, stop=False)
     ModuleHost(fleet, module_from(lab_broken.RAISES)).run()
-    assert {each.rule for each in fleet.witness.violations} == {"crash"}
+    assert {each.rule for each in fleet.checker.violations} == {"crash"}
     assert fleet.kernel.now >= fleet.day.seconds
 
 
@@ -342,8 +342,8 @@
     service.quotas = (2.0, 2.0)
     for tenant, connections in ((0, 4), (1, 1)):  # cells of the first class
         for _ in range(connections):
-            service.wants(tenant, 0, 4 * SECOND)
-        service.earned(tenant, 0, 4.0, connections * (0.5 if tenant == 0 else 1.0))
+            service.record_wanted(tenant, 0, 4 * SECOND)
+        service.record_served(tenant, 0, 4.0, connections * (0.5 if tenant == 0 else 1.0))
     # Of four connections half a unit each is served; two of four are within the quota: worth 0.55 of one each.
     result = service.result()
     assert result["tenants"] == {"large": 0.5, "small": 1.0}
