--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -16,10 +16,10 @@
 from scaledeal import interface as api
 from scaledeal.lab.kernel import ScheduledCall
 from scaledeal.lab.truth import BrokenRuleError
-from scaledeal.lab.world.before import stood
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer
 from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
+from scaledeal.lab.world.placement import place_initial_connections
 from scaledeal.lab.world.server import Held, TileServer
 from scaledeal.lab.world.told import document
 from scaledeal.policy import Balancer
@@ -134,7 +134,7 @@
         if not self.server.alive:
             self._later(lambda: self.ends(api.Result.CONNECT_FAILED))
             return
-        self.held = fleet.crowd.held(self.flight.client, self)
+        self.held = fleet.population.held(self.flight.client, self)
         self.held.id = self.flight.id
         fleet.checker.attempt_arrived(self.flight.id, self.server.name, fleet.kernel.now)
         self.server.arrive(self.held)
@@ -228,7 +228,7 @@
         """Take a client's first line."""
         fleet, now = self.fleet, self.fleet.kernel.now
         self._numbered += 1
-        flight = Flight(f"r{self._numbered}", client, client.id, client.asked_at + client.kind.deadline)
+        flight = Flight(f"r{self._numbered}", client, client.id, client.requested_at + client.class_settings.deadline)
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
         fleet.checker.request_written(client.id, self.door.name, now, flight.deadline)
@@ -240,7 +240,7 @@
                 client.key,
                 client.group,
                 client.tenant,
-                returning=client.stood,
+                returning=client.was_connected,
             )
         )
 
@@ -253,11 +253,11 @@
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
         self.fleet.checker.initial_connection(client.id, self.door.name, server.name, self.fleet.kernel.now)
-        held = flight.attempt.held = self.fleet.crowd.held(client, flight.attempt)
+        held = flight.attempt.held = self.fleet.population.held(client, flight.attempt)
         self.post(api.OpenConnection(flight.name, client.cls, server.name, client.key, client.group, client.tenant))
         server.stands_already(held)
-        client.up = client.stood = True
-        client.finish_at_end()
+        client.connected = client.was_connected = True
+        client.schedule_finish()
 
     def client_left(self, flight: Flight) -> None:
         """Hear that a client left."""
@@ -278,7 +278,7 @@
             return
         flight.stands = True
         self.post(api.Established(flight.name, attempt.number, attempt.server.name, now - attempt.began))
-        self._to_client(flight, lambda client: client.is_up())
+        self._to_client(flight, lambda client: client.on_connected())
 
     def attempt_over(self, attempt: Attempt, result: api.Result) -> None:
         """Hear how an attempt, or a connection that stood, ended."""
@@ -291,7 +291,7 @@
                 api.Result.CANCELLED: lambda client: self._counted(client, "sent_away"),
                 api.Result.OK: lambda _: None,
             }
-            self._to_client(flight, how.get(result, lambda client: client.broken()))
+            self._to_client(flight, how.get(result, lambda client: client.on_broken()))
         if not stood and result is not api.Result.OK:
             self.fleet.service.count("wasted", self.fleet.kernel.now)
         took = self.fleet.kernel.now - attempt.began
@@ -301,7 +301,7 @@
 
     def _counted(self, client: Client, what: str) -> None:
         self.fleet.service.count(what, self.fleet.kernel.now)
-        client.moved()
+        client.on_moved()
 
     # Actions
 
@@ -319,7 +319,7 @@
             self.fleet.checker.attempt_arrived(flight.id, action.server, now)  # two at once: told as what it is
         server = self.fleet.servers[action.server]
         if flight.number == 0:
-            self.fleet.service.record_duration(self.fleet.service.first_attempt_ms, now - flight.client.asked_at)
+            self.fleet.service.record_duration(self.fleet.service.first_attempt_ms, now - flight.client.requested_at)
         self.fleet.service.count("attempts", now)
         if server.zone != self.door.zone:
             self.fleet.service.count("far", now)
@@ -328,10 +328,10 @@
         flight.attempt.begin(min(action.timeout or left, left))
 
     def _refuse(self, action: api.Refuse) -> None:
-        self._answer(action.request, lambda client: client.refused(action.retry_after))
+        self._answer(action.request, lambda client: client.on_refused(action.retry_after))
 
     def _fail(self, action: api.Fail) -> None:
-        self._answer(action.request, lambda client: client.failed())
+        self._answer(action.request, lambda client: client.on_failed())
 
     def _answer(self, name: str, tell: Callable[[Client], None]) -> None:
         flight = self.flights.get(name)
@@ -357,7 +357,7 @@
             return
         flight.answered = True
         self.fleet.service.count("moves", self.fleet.kernel.now)
-        self._to_client(flight, lambda client: client.moved())
+        self._to_client(flight, lambda client: client.on_moved())
         flight.attempt.ends(api.Result.CANCELLED)
 
     def _probe(self, action: api.Probe) -> None:
@@ -430,7 +430,7 @@
                 flight.attempt.give_up()
             if not flight.answered:
                 flight.answered = True
-                self._to_client(flight, lambda client: client.broken(True))
+                self._to_client(flight, lambda client: client.on_broken(True))
         self.flights.clear()
 
     def drains(self) -> None:
@@ -460,7 +460,7 @@
         self.host.here.pop(client.number, None) if flight.answered else None
         self.fleet.kernel.after(
             self.fleet.paths.client_time(self.draw),
-            lambda: tell(client) if client.id == flight.id and not client.over else None,
+            lambda: tell(client) if client.id == flight.id and not client.finished else None,
         )
 
     def _forget(self, flight: Flight) -> None:
@@ -485,7 +485,7 @@
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
             server.touch()
-        for client in list(fleet.crowd.here.values()):
+        for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
         fleet.kernel.run(fleet.day.seconds + longest + fleet.day.rules.slack + SECOND)
         for relay in self.relays:
@@ -501,15 +501,15 @@
         if door is None:
             return False
         relay = self.relays[door.number]
-        way = self.fleet.paths.client_time(client.draw)
+        way = self.fleet.paths.client_time(client.rng)
         id = client.id
 
         def comes() -> None:
-            if client.id == id and client.asking:
+            if client.id == id and client.pending:
                 if relay.alive and relay.serving and self.relays[door.number] is relay:
                     relay.take(client)
                 else:
-                    client.turned_off()
+                    client.on_connect_failed()
 
         self.fleet.kernel.after(way, comes)
         return True
@@ -519,7 +519,7 @@
         if (where := self.here.pop(client.number, None)) is not None:
             relay, flight = where
             if flight.id == client.id and relay.alive:
-                self.fleet.kernel.after(self.fleet.paths.client_time(client.draw), lambda: relay.client_left(flight))
+                self.fleet.kernel.after(self.fleet.paths.client_time(client.rng), lambda: relay.client_left(flight))
 
     # Relays
 
@@ -617,8 +617,10 @@
 
     def _stand(self) -> None:
         """Have the clients of before the run stand."""
-        clients = self.fleet.crowd.begin()
-        places = stood(clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.crowd.mean_load)
+        clients = self.fleet.population.start()
+        places = place_initial_connections(
+            clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.population.mean_load
+        )
         for client in clients:
             door = self.fleet.front.pick(client.zone)
             if door is not None and client.number in places:
@@ -627,7 +629,7 @@
 
 def told_to(fleet: Fleet, door: Door) -> Document:
     """Return the settings of one relay as the platform would tell them."""
-    told = document(fleet.day, door.number, door.zone, fleet.crowd.quotas)
+    told = document(fleet.day, door.number, door.zone, fleet.population.quotas)
     return msgspec.convert(told, Document, strict=False)
 
 
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -17,9 +17,9 @@
 from scaledeal.lab.hosts.relay.peers import STOOD, BadEnd, ClientEnd, DirectoryListener, TileListener
 from scaledeal.lab.hosts.relay.reactor import OWN, Process, SimReactor
 from scaledeal.lab.hosts.relay.sockets import End, Machine, Net
-from scaledeal.lab.world.before import stood
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
+from scaledeal.lab.world.placement import place_initial_connections
 from scaledeal.lab.world.server import TileServer
 from scaledeal.net.config import Address, Config
 from scaledeal.net.ports import Port, Reactor
@@ -152,11 +152,11 @@
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
             server.touch()
-        for client in list(fleet.crowd.here.values()):
+        for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
         longest = max(each.deadline for each in fleet.day.classes)
         fleet.kernel.run(fleet.day.seconds + longest + fleet.day.rules.slack + SECOND)
-        for client in list(fleet.crowd.here.values()):
+        for client in list(fleet.population.clients.values()):
             client._finish()
         # Probe connections are kept until they were idle for as long as the settings say, and closed by then.
         fleet.kernel.run(fleet.kernel.now + int(fleet.day.network.idle) + 7 * SECOND)
@@ -184,30 +184,32 @@
         self.clients[id] = client
 
         def up(end: End) -> None:
-            if client.id != id or client.over or not (client.asking or at):
+            if client.id != id or client.finished or not (client.pending or at):
                 end.abort()
                 return
             fleet = self.fleet
             now = fleet.kernel.now
-            fleet.checker.request_written(id, door.name, now, now + (STOOD if at else client.kind.deadline))
+            fleet.checker.request_written(id, door.name, now, now + (STOOD if at else client.class_settings.deadline))
             self.ends[id] = ClientEnd(self, client, door, end, at)
 
         def failed() -> None:
-            if client.id == id and not client.over:
-                client.turned_off()
+            if client.id == id and not client.finished:
+                client.on_connect_failed()
 
         self.net.dial(self._crowd, "10.9.0.1", self.address(door), up, failed)
 
     def _stand(self) -> None:
         """Have the clients of before the run come with the names of their servers, as the platform does."""
         draw = self.fleet.streams.of("standing")
-        clients = self.fleet.crowd.begin()
-        places = stood(clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.crowd.mean_load)
+        clients = self.fleet.population.start()
+        places = place_initial_connections(
+            clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.population.mean_load
+        )
         for client in clients:
             door = self.fleet.front.pick(client.zone)
             if door is None or client.number not in places:
                 continue
-            client.id, client.asking = f"c{client.number}.0", True
+            client.id, client.pending = f"c{client.number}.0", True
             self.fleet.kernel.after(
                 int(draw.random() * 100 * MS) + 20 * MS,
                 lambda c=client, d=door, s=places[client.number].name: self._come(c, d, s),  # type: ignore[misc]
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -191,7 +191,7 @@
         standing = b"at=" in found[3]
         way = int(fleet.paths.times[self.host.zone_of(self.relay)][self.server.zone] * (1 + fleet.day.network.jitter))
         fleet.checker.attempt_sent(id, self.server.name, self.relay, fleet.kernel.now - way)  # at its first byte
-        self.held = fleet.crowd.held(client, self)
+        self.held = fleet.population.held(client, self)
         self.held.id = id
         fleet.checker.attempt_arrived(id, self.server.name, fleet.kernel.now)
         if not standing:
@@ -365,11 +365,11 @@
         self.answered = self.stands = self.moved = False
         self.sent = self.heard = 0
         self.timer: ScheduledCall | None = None
-        kind = client.kind
+        kind = client.class_settings
         wait = STOOD if at else kind.deadline
         words = f"c={kind.name},d={int(wait // MS)}" + (f",g={client.group}" if client.group else "")
-        words += f",t={client.crowd.day.tenant[client.tenant].name}" if client.crowd.day.tenant else ""
-        words += (",again=1" if client.stood else "") + (f",at={at}" if at else "")
+        words += f",t={client.population.day.tenant[client.tenant].name}" if client.population.day.tenant else ""
+        words += (",again=1" if client.was_connected else "") + (f",at={at}" if at else "")
         self.standing = bool(at)
         self.say(f"OPEN {self.id} {client.key} {words}".encode())
 
@@ -388,21 +388,21 @@
         self._stop()
         self.host.ends.pop(self.id, None)
         client = self.client
-        if client.id != self.id or client.over or self.moved:
+        if client.id != self.id or client.finished or self.moved:
             return
         if self.answered and not self.stands:
             return
         if self.stands:
             holder = self.host.held_at(self.id)
             if not self.host.alive(self.door):
-                client.broken(True)
+                client.on_broken(True)
             else:
                 self.host.fleet.checker.connection_cut(self.id, holder, self.host.fleet.kernel.now)
-                client.broken()
+                client.on_broken()
         elif self.host.alive(self.door) and self.host.took(self.door):
-            client.failed()  # closed without a word
+            client.on_failed()  # closed without a word
         else:
-            client.broken(True)
+            client.on_broken(True)
 
     def leaves(self) -> None:
         """End it."""
@@ -417,10 +417,10 @@
             return
         if self.standing:
             self.host.fleet.checker.answer_received(self.id, self.host.fleet.kernel.now, "UP")
-            client.asking, client.up, client.stood = False, True, True
-            client.finish_at_end()
+            client.pending, client.connected, client.was_connected = False, True, True
+            client.schedule_finish()
         else:
-            client.is_up()
+            client.on_connected()
         self._message()
 
     def _answer(self, word: bytes, rest: bytes) -> None:
@@ -431,11 +431,11 @@
             return
         self.answered = True
         if word == b"BUSY":
-            self.client.refused(int(rest or 0) * MS)
+            self.client.on_refused(int(rest or 0) * MS)
         elif self.standing:
-            self.client.broken(True)
+            self.client.on_broken(True)
         else:
-            self.client.failed()
+            self.client.on_failed()
 
     def _passed_on(self, word: bytes, rest: bytes) -> None:
         if word == b"MOVE":
@@ -444,7 +444,7 @@
             by_server = self.id in self.host.sent_away
             self.host.sent_away.discard(self.id)
             self.host.fleet.service.count("sent_away" if by_server else "moves", self.host.fleet.kernel.now)
-            self.client.moved()
+            self.client.on_moved()
         elif word == b"SAME":
             number = int(rest)
             self.host.fleet.checker.line_received(self.id, self.host.fleet.kernel.now, 0, number == self.heard + 1)
--- a/scaledeal/lab/world/__init__.py
+++ b/scaledeal/lab/world/__init__.py
@@ -1,7 +1,8 @@
-"""What a relay meets, as models: tile servers, the list, the store, the network, the front, clients, and troubles.
+"""Models of everything a relay interacts with: tile servers, discovery, the store, the network, the front and clients.
 
-State apart from wire: nothing here knows a line, a socket or a relay's insides. A server hears of connections and
-probes by calls and answers through a ``Seat``; a client asks through a ``Host`` and hears by calls. So the same models
-serve the decision module alone, the real network code on simulated sockets, and real sockets. What each law is stands
-in its module's docstring. Imports go to ``lab.kernel``, ``lab.scenario`` and ``lab.truth``.
+The models contain state but no wire format: nothing here depends on a line protocol, a socket or a relay's internals. A
+server learns of connections and probes through calls and answers through a ``ConnectionPeer``; a client sends requests
+through a ``Host`` and receives answers through calls. The same models therefore serve the decision module alone, the
+real network code on simulated sockets, and real sockets. The docstring of each module states the laws of its model.
+This package may import ``lab.kernel``, ``lab.scenario`` and ``lab.truth``.
 """
--- a/scaledeal/lab/world/fleet.py
+++ b/scaledeal/lab/world/fleet.py
@@ -14,7 +14,7 @@
 from scaledeal.lab.kernel import Kernel, Station, Streams
 from scaledeal.lab.scenario.types import Model, Scenario
 from scaledeal.lab.truth import RuleChecker, Service
-from scaledeal.lab.world.clients import Client, Crowd
+from scaledeal.lab.world.clients import Client, ClientPopulation
 from scaledeal.lab.world.directory import Directory, Entry
 from scaledeal.lab.world.network import Paths
 from scaledeal.lab.world.server import TileServer
@@ -87,7 +87,7 @@
         self.models = self._models()
         self.server_rate = 0.0
         power = sum(model.cores * (model.speed.low + model.speed.high) / 2 for model in self.models)
-        self.crowd = Crowd(self.kernel, day, self.streams, self.service, self.checker, power)
+        self.population = ClientPopulation(self.kernel, day, self.streams, self.service, self.checker, power)
         self.store = Station(self.kernel, 1)
         self.store_slow = 1.0
         for model in self.models:
@@ -102,7 +102,7 @@
         """Have a host's relays meet this fleet from now on, until the day is over."""
         from scaledeal.lab.world.troubles import begin
 
-        self.host = self.crowd.host = host
+        self.host = self.population.host = host
         begin(self)
 
     # Servers
@@ -155,7 +155,7 @@
 
     def store_time(self) -> int:
         """Return the ns of the store for one call."""
-        rate = max(0.1, self.crowd.rate * self.day.store.headroom)
+        rate = max(0.1, self.population.rate * self.day.store.headroom)
         return int(self.store_slow * SECOND / rate)
 
     def _start(self, model: Model, started: int = 0, zone: int | None = None) -> TileServer:
@@ -173,7 +173,7 @@
             self.checker,
             self.store,
             self.store_time,
-            self.crowd,
+            self.population,
             started,
         )
         self.servers[name] = server
--- a/scaledeal/lab/world/server.py
+++ b/scaledeal/lab/world/server.py
@@ -64,7 +64,7 @@
 
     mean_load: float  # of those that stand
     mean_work: float  # of those that come
-    works: list[float]  # of those of a class that come, over that
+    relative_works: list[float]  # of new connections, by class, relative to mean_work
 
 
 class Held(msgspec.Struct, eq=False):
@@ -386,7 +386,7 @@
         if not (self.alive and self.started and now - self.started < self.day.servers.warm_after):
             return
         self._arrived = [each for each in self._arrived if each[0] > now - rules.fall]
-        self._arrived.append((now, held.seat.relay, self.means.works[held.cls]))
+        self._arrived.append((now, held.seat.relay, self.means.relative_works[held.cls]))
         allowed = self.allowed()
         if sum(work for *_, work in self._arrived) > allowed + 2 * math.sqrt(allowed) + 2:
             self.checker.cold_server_overloaded(self.name, now, [relay for _, relay, _ in self._arrived], allowed)
--- a/scaledeal/lab/world/troubles.py
+++ b/scaledeal/lab/world/troubles.py
@@ -87,7 +87,7 @@
 
 def _shrink(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
     """Take away a part of the fleet, and ``size`` of the clients' rate with it."""
-    fleet.crowd.extra -= trouble.size
+    fleet.population.extra_rate -= trouble.size
     going = _some(fleet, trouble, draw)
     for number, server in enumerate(going):
         fleet.kernel.after(lasts * number // max(1, len(going)), lambda s=server: fleet.drain_server(s))  # type: ignore[misc]
@@ -152,8 +152,10 @@
 
 
 def _crowd(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    fleet.crowd.extra += trouble.size
-    fleet.kernel.after(lasts, lambda: setattr(fleet.crowd, "extra", fleet.crowd.extra - trouble.size))
+    fleet.population.extra_rate += trouble.size
+    fleet.kernel.after(
+        lasts, lambda: setattr(fleet.population, "extra_rate", fleet.population.extra_rate - trouble.size)
+    )
 
 
 def _relay_kill(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -163,8 +163,8 @@
 def flood(fleet: Fleet, server: TileServer, most: int = 1000, cls: int = 0) -> int:
     """Send so many requests at once, by turns from r0 to r3; return how many it took until it fell."""
     for number in range(most):
-        held = fleet.crowd.held(fleet.crowd.new(cls), Stub(f"r{number % 4}"))
-        held.id = f"f{fleet.crowd.numbered}"
+        held = fleet.population.held(fleet.population.new_client(cls), Stub(f"r{number % 4}"))
+        held.id = f"f{fleet.population.client_count}"
         server.arrive(held)
         if not server.alive:
             return number + 1
