--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -20,8 +20,8 @@
 from scaledeal.lab.world.directory import Answer
 from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
 from scaledeal.lab.world.placement import place_initial_connections
+from scaledeal.lab.world.relay_settings import settings_document
 from scaledeal.lab.world.server import Held, TileServer
-from scaledeal.lab.world.told import document
 from scaledeal.policy import Balancer
 from scaledeal.settings import Document
 
@@ -629,7 +629,7 @@
 
 def told_to(fleet: Fleet, door: Door) -> Document:
     """Return the settings of one relay as the platform would tell them."""
-    told = document(fleet.day, door.number, door.zone, fleet.population.quotas)
+    told = settings_document(fleet.day, door.number, door.zone, fleet.population.quotas)
     return msgspec.convert(told, Document, strict=False)
 
 
--- a/scaledeal/lab/world/fleet.py
+++ b/scaledeal/lab/world/fleet.py
@@ -92,7 +92,7 @@
         self.store_slow = 1.0
         for model in self.models:
             self._start(model)
-        self.directory.at_start([self.entry(server, "active") for server in self.servers.values()])
+        self.directory.set_initial([self.entry(server, "active") for server in self.servers.values()])
         zones = len(day.zones)
         self.doors = [Door(n, f"n{n}", n % zones) for n in range(day.relays.count)]
         self.front = Front(self.doors, self.streams.of("front"))
@@ -114,13 +114,13 @@
     def start_server(self, model: Model, zone: int | None = None) -> TileServer:
         """Start a cold one; the list hears of it later."""
         server = self._start(model, max(1, self.kernel.now), zone)
-        self.directory.learns(self.entry(server, "active"), "add")
+        self.directory.record_change(self.entry(server, "active"), "add")
         return server
 
     def drain_server(self, server: TileServer) -> None:
         """Have one leave: it drains, and its process ends later."""
         server.drain()
-        self.directory.learns(self.entry(server, "leaving"), "notice")
+        self.directory.record_change(self.entry(server, "leaving"), "notice")
         low, high = self.day.servers.leaves
         self.kernel.after(int(self.draw.uniform(low, high) if low < high else low), lambda: self.end_server(server))
 
@@ -128,7 +128,7 @@
         """End one at once; a machine that vanishes is noticed later than a process that dies."""
         if server.alive:
             server.die(silently)
-            self.directory.learns(self.entry(server, "left"), "silent" if silently else "notice")
+            self.directory.record_change(self.entry(server, "left"), "silent" if silently else "notice")
 
     def entry(self, server: TileServer, status: str) -> Entry:
         """Return a server's line of the list."""
--- a/scaledeal/lab/world/network.py
+++ b/scaledeal/lab/world/network.py
@@ -1,7 +1,7 @@
-"""The network between zones: one way times, and who can't reach whom.
+"""The network between zones: one-way delays, and cuts between zones.
 
-A message takes the drawn time of its pair of zones, and ``jitter`` of that more or less. What is sent into a cut is
-lost: whoever waits for it waits.
+A message takes the delay drawn for its pair of zones, plus or minus up to ``jitter`` of it. A message sent into a cut
+is lost without notice to its sender or receiver.
 """
 
 from __future__ import annotations
@@ -13,37 +13,39 @@
 
 
 class Paths:
-    """All pairs of zones."""
+    """The delays and cuts between all pairs of zones."""
 
     def __init__(self, day: Scenario, streams: Streams) -> None:
-        self.told: Network = day.network
-        draw = streams.of("network")
+        self.settings: Network = day.network
+        rng = streams.of("network")
         count = len(day.zones)
         self.times = [[0] * count for _ in range(count)]
-        for one in range(count):
-            for other in range(one, count):
-                low, high = self.told.same if one == other else self.told.cross
-                self.times[one][other] = self.times[other][one] = int(draw.uniform(low, high) if low < high else low)
+        for source in range(count):
+            for target in range(source, count):
+                low, high = self.settings.same if source == target else self.settings.cross
+                self.times[source][target] = self.times[target][source] = int(
+                    rng.uniform(low, high) if low < high else low
+                )
         self.cut: set[tuple[int, int]] = set()  # from zone, to zone
 
-    def time(self, one: int, other: int, draw: np.random.Generator) -> int:
-        """Return the ns that a message takes from one zone to another."""
-        spread = self.told.jitter * (2 * draw.random() - 1) if self.told.jitter else 0.0
-        return max(0, int(self.times[one][other] * (1 + spread)))
+    def time(self, source: int, target: int, rng: np.random.Generator) -> int:
+        """Draw the ns that a message takes from one zone to another."""
+        deviation = self.settings.jitter * (2 * rng.random() - 1) if self.settings.jitter else 0.0
+        return max(0, int(self.times[source][target] * (1 + deviation)))
 
-    def client_time(self, draw: np.random.Generator) -> int:
-        """Return the ns between a client and a relay."""
-        low, high = self.told.client
-        return int(draw.uniform(low, high) if low < high else low)
+    def client_time(self, rng: np.random.Generator) -> int:
+        """Draw the ns that a message takes between a client and a relay."""
+        low, high = self.settings.client
+        return int(rng.uniform(low, high) if low < high else low)
 
-    def reaches(self, one: int, other: int) -> bool:
-        """Tell whether a message gets there."""
-        return (one, other) not in self.cut
+    def reaches(self, source: int, target: int) -> bool:
+        """Return whether messages from one zone arrive in another."""
+        return (source, target) not in self.cut
 
-    def sever(self, zone: int, zones: int, one_way: bool, on: bool) -> None:
-        """Cut a zone off from the others, or join it again."""
-        others = [other for other in range(zones) if other != zone]
+    def set_cut(self, zone: int, zone_count: int, one_way: bool, cut: bool) -> None:
+        """Cut a zone off from all others, or reconnect it; ``one_way``: only messages to the zone are lost."""
+        others = [other for other in range(zone_count) if other != zone]
         pairs = {(other, zone) for other in others}
         if not one_way:
             pairs |= {(zone, other) for other in others}
-        self.cut = self.cut | pairs if on else self.cut - pairs
+        self.cut = self.cut | pairs if cut else self.cut - pairs
--- a/scaledeal/lab/world/told.py
+++ b/scaledeal/lab/world/relay_settings.py
@@ -1,4 +1,4 @@
-"""What relays are told of a scenario, as the platform tells it: one document for both hosts."""
+"""The settings document that the platform gives to a relay, derived from a scenario; both hosts use it."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from scaledeal.lab.scenario.types import Scenario
 
-_WORDS = {"eps": "fail_rate", "inflight": "rif", "queue": "q", "x0": "x0"}
+_REPORT_FIELDS = {"eps": "fail_rate", "inflight": "rif", "queue": "q", "x0": "x0"}
 
 
-def document(day: Scenario, me: int, zone: int, quotas: tuple[float, ...] = ()) -> dict[str, Any]:
-    """Return the settings of one relay, nested, under the platform's names and in its units.
+def settings_document(day: Scenario, relay_number: int, zone: int, quotas: tuple[float, ...] = ()) -> dict[str, Any]:
+    """Return the settings of one relay as nested dictionaries, with the platform's names and units.
 
-    ``quotas``: connections over all relays that are within each tenant's share.
+    ``quotas``: the number of connections across all relays that is within each tenant's quota.
     """
     return {
         "Classes": [
             {
-                "Name": each.name,
-                "Aim": int(each.aim),
-                "Deadline": int(each.deadline),
-                "Worth": each.worth,
+                "Name": cls.name,
+                "Aim": int(cls.aim),
+                "Deadline": int(cls.deadline),
+                "Worth": cls.worth,
                 "Semantics": "repeatable",
                 "KeyScope": "all",
             }
-            for each in day.classes
+            for cls in day.classes
         ],
         "Siblings": day.relays.count,
-        "Me": me,
+        "Me": relay_number,
         "Zone": zone,
         "Discovery": "pushed" if day.discovery.mode == "pushed" else "on_request",
-        "Accounts": [{"Name": each.name} for each in day.tenant],
+        "Accounts": [{"Name": tenant.name} for tenant in day.tenant],
         "OverShareWorth": day.clients.over_worth,
         "FailureDomains": list(day.zones),
         "Weights": day.servers.weights,
@@ -44,7 +44,7 @@
             "IdleClose": int(day.network.idle),
         },
         "Prices": {"Moves": day.prices.move, "Probe": day.prices.probe, "CrossZone": day.prices.cross_zone},
-        "Report": {"Fields": [_WORDS[name] for name in day.rules.report_fields], "Via": "probe"},
+        "Report": {"Fields": [_REPORT_FIELDS[name] for name in day.rules.report_fields], "Via": "probe"},
         "Rules": {
             "ColdFrom": day.servers.min_cold_share,
             "WarmAfter": day.servers.warm_after,
@@ -53,7 +53,7 @@
         },
         "Specifics": {
             "Groups": day.servers.group_cost > 0,
-            "MessageAim": [int(each.message) for each in day.classes],
+            "MessageAim": [int(cls.message) for cls in day.classes],
             "TenantQuotaConnections": list(quotas),
         },
     }
--- a/scaledeal/lab/world/troubles.py
+++ b/scaledeal/lab/world/troubles.py
@@ -95,8 +95,8 @@
 
 def _stale_roster(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
     late = int((trouble.size or 5.0) * SECOND)
-    fleet.directory.behind += late
-    fleet.kernel.after(lasts, lambda: setattr(fleet.directory, "behind", fleet.directory.behind - late))
+    fleet.directory.extra_delay += late
+    fleet.kernel.after(lasts, lambda: setattr(fleet.directory, "extra_delay", fleet.directory.extra_delay - late))
 
 
 def _silent_streams(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
@@ -129,8 +129,8 @@
 
 def _zone_cut(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
     zone, zones = _zone(fleet, trouble, draw), len(fleet.day.zones)
-    fleet.paths.sever(zone, zones, trouble.one_way, True)
-    fleet.kernel.after(lasts, lambda: fleet.paths.sever(zone, zones, trouble.one_way, False))
+    fleet.paths.set_cut(zone, zones, trouble.one_way, True)
+    fleet.kernel.after(lasts, lambda: fleet.paths.set_cut(zone, zones, trouble.one_way, False))
 
 
 def _resets(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
@@ -207,8 +207,8 @@
 
 
 def _discovery_down(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    fleet.directory.fail(True)
-    fleet.kernel.after(lasts, lambda: fleet.directory.fail(False))
+    fleet.directory.set_down(True)
+    fleet.kernel.after(lasts, lambda: fleet.directory.set_down(False))
 
 
 def _drawn(draw: np.random.Generator, ends: tuple[float, float]) -> float:
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -324,11 +324,11 @@
     fleet.kernel.run(0)
     assert [at for at, _ in told] == [0], "an agent answers at once, whatever a call costs the service"
     directory.call(directory.index, 60 * SECOND, lambda answer: told.append((fleet.kernel.now, answer)))
-    directory.fail(True)
+    directory.set_down(True)
     fleet.drain_server(server)
     fleet.kernel.run(2 * SECOND)
     assert len(told) == 1, "an agent says nothing while discovery is down, and ends no watch"
-    directory.fail(False)
+    directory.set_down(False)
     fleet.kernel.run(2 * SECOND)
     assert len(told) == 2 and server.name in {entry.name for entry in told[1][1].entries}  # type: ignore[attr-defined]
 
