--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -21,7 +21,7 @@
 from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
 from scaledeal.lab.world.placement import place_initial_connections
 from scaledeal.lab.world.relay_settings import settings_document
-from scaledeal.lab.world.server import Held, TileServer
+from scaledeal.lab.world.server import ServerConnection, TileServer
 from scaledeal.policy import Balancer
 from scaledeal.settings import Document
 
@@ -56,7 +56,7 @@
         self.host, self.flight, self.server, self.number = relay, flight, server, number
         self.relay = relay.door.name
         self.began = relay.fleet.kernel.now
-        self.held: Held | None = None
+        self.held: ServerConnection | None = None
         self.over = False
         self.timer: ScheduledCall | None = None
 
@@ -134,7 +134,7 @@
         if not self.server.alive:
             self._later(lambda: self.ends(api.Result.CONNECT_FAILED))
             return
-        self.held = fleet.population.held(self.flight.client, self)
+        self.held = fleet.population.server_connection(self.flight.client, self)
         self.held.id = self.flight.id
         fleet.checker.attempt_arrived(self.flight.id, self.server.name, fleet.kernel.now)
         self.server.arrive(self.held)
@@ -253,9 +253,9 @@
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
         self.fleet.checker.initial_connection(client.id, self.door.name, server.name, self.fleet.kernel.now)
-        held = flight.attempt.held = self.fleet.population.held(client, flight.attempt)
+        held = flight.attempt.held = self.fleet.population.server_connection(client, flight.attempt)
         self.post(api.OpenConnection(flight.name, client.cls, server.name, client.key, client.group, client.tenant))
-        server.stands_already(held)
+        server.add_established(held)
         client.connected = client.was_connected = True
         client.schedule_finish()
 
@@ -484,7 +484,7 @@
         longest = max(each.deadline for each in fleet.day.classes)
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
-            server.touch()
+            server.update()
         for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
         fleet.kernel.run(fleet.day.seconds + longest + fleet.day.rules.slack + SECOND)
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -151,7 +151,7 @@
         fleet = self.fleet
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
-            server.touch()
+            server.update()
         for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
         longest = max(each.deadline for each in fleet.day.classes)
@@ -244,7 +244,7 @@
         """Tell whether a server that answers holds a connection."""
         case = self.fleet.checker.requests.get(id)
         server = self.fleet.servers.get(case.open_at) if case is not None else None
-        return server is not None and id in server.held and not server.stands_still()
+        return server is not None and id in server.connections and not server.is_stalled()
 
     def alive(self, door: Door) -> bool:
         """Tell whether a relay's process runs."""
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -16,7 +16,7 @@
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer, Directory
 from scaledeal.lab.world.fleet import Door, Fleet
-from scaledeal.lab.world.server import Held, TileServer
+from scaledeal.lab.world.server import ServerConnection, TileServer
 
 if TYPE_CHECKING:
     from scaledeal.lab.hosts.relay.host import RelayHost
@@ -106,7 +106,7 @@
     def __init__(self, host: RelayHost, server: TileServer, end: End) -> None:
         super().__init__(end)
         self.host, self.server = host, server
-        self.held: Held | None = None
+        self.held: ServerConnection | None = None
         self.relay = host.relay_at(end.remote)
         self.stands = False
         self.todo: deque[bytes] = deque()  # the client's lines that are not answered yet
@@ -191,7 +191,7 @@
         standing = b"at=" in found[3]
         way = int(fleet.paths.times[self.host.zone_of(self.relay)][self.server.zone] * (1 + fleet.day.network.jitter))
         fleet.checker.attempt_sent(id, self.server.name, self.relay, fleet.kernel.now - way)  # at its first byte
-        self.held = fleet.population.held(client, self)
+        self.held = fleet.population.server_connection(client, self)
         self.held.id = id
         fleet.checker.attempt_arrived(id, self.server.name, fleet.kernel.now)
         if not standing:
@@ -200,7 +200,7 @@
                 fleet.service.count("far", fleet.kernel.now)
         if standing:
             self.up()
-            self.server.stands_already(self.held)
+            self.server.add_established(self.held)
         else:
             self.server.arrive(self.held)
 
@@ -219,10 +219,10 @@
         held = self.held
         if held is None or held.silent or self.over:
             return
-        if self.server.stands_still():
+        if self.server.is_stalled():
             self.host.fleet.kernel.after(LOOK, self._answer_soon)
             return
-        wait = int(self.server.piled * SECOND)
+        wait = int(self.server.backlog_s * SECOND)
         self.host.fleet.kernel.after(wait, self._answer_now)
 
     def _answer_now(self) -> None:
--- a/scaledeal/lab/world/clients.py
+++ b/scaledeal/lab/world/clients.py
@@ -17,7 +17,7 @@
 from scaledeal.lab.kernel import Kernel, ScheduledCall, Streams
 from scaledeal.lab.scenario.types import Class, Scenario
 from scaledeal.lab.truth import RuleChecker, Service
-from scaledeal.lab.world.server import Held
+from scaledeal.lab.world.server import ServerConnection
 
 MS = 1_000_000
 SECOND = 1000 * MS
@@ -289,10 +289,10 @@
         """Remove a client that has finished."""
         self.clients.pop(client.number, None)
 
-    def held(self, client: Client, seat: object) -> Held:
+    def server_connection(self, client: Client, peer: object) -> ServerConnection:
         """Return the server's record of a client's connection."""
-        return Held(
-            seat,  # type: ignore[arg-type]
+        return ServerConnection(
+            peer,  # type: ignore[arg-type]
             client.id,
             client.cls,
             client.group,
--- a/scaledeal/lab/world/fleet.py
+++ b/scaledeal/lab/world/fleet.py
@@ -133,10 +133,13 @@
     def entry(self, server: TileServer, status: str) -> Entry:
         """Return a server's line of the list."""
         cores = float(server.model.cores)
-        told = {"none": 1.0, "nominal": server.power, "rough": cores, "live": cores / (1 + len(server.held) / cores)}[
-            self.day.servers.weights
-        ]
-        since = EPOCH + server.started // MS if server.started else 0
+        told = {
+            "none": 1.0,
+            "nominal": server.power,
+            "rough": cores,
+            "live": cores / (1 + len(server.connections) / cores),
+        }[self.day.servers.weights]
+        since = EPOCH + server.started_at // MS if server.started_at else 0
         return Entry(
             server.name,
             self.address(server.name),
--- a/scaledeal/lab/world/server.py
+++ b/scaledeal/lab/world/server.py
@@ -1,15 +1,16 @@
-"""A tile server.
-
-Laws. Work is counted in seconds of a reference core. A server does ``cores * speed * warmth`` of it a second; warmth
-grows evenly from ``cold_from`` to 1 over its ``cold`` time. Each connection asks for its load, and each group of which
-any connection is held for ``group_cost`` mean loads more; ``asked`` is that sum over what the server can do now. What
-is asked beyond 1 piles up, and is worked off while less is asked. A connection is well served for the share of its
-messages that take no longer than its class wants: ``1 - exp(-(1 - asked) * left / m)``, where ``m`` is a message's time
-at an idle server and ``left`` is the wanted time less what is piled up (response times of M/M/1). Past ``buffer`` the
-heaviest connections are dropped. New connections are set up in turn, by as many workers as cores, then by the store.
-Until the settings call it warm, it falls over when it gets more than ``N + 2 * sqrt(N) + 2`` new connections of mean
-work in any window of ``rules.fall``; one of a class counts by that class's mean. What N is says ``allowed``: the
-settings' cold share and warm-up count there, not the server's own.
+"""The model of a tile server.
+
+Laws. Work is measured in seconds of a reference core. A server does ``cores * speed * warmth`` of it per second; warmth
+grows linearly from ``cold_from`` to 1 over its ``cold`` time. Each connection demands its load, and each group of which
+the server holds a connection demands ``group_cost`` mean loads more; the utilisation is that sum over the present
+capacity. Demand beyond a utilisation of 1 builds up a backlog, which is worked off while utilisation is below 1. A
+connection is well served for the share of its messages that are answered within the target time of its class:
+``1 - exp(-(1 - utilisation) * remaining / m)``, where ``m`` is the response time of an idle server and ``remaining`` is
+the target time less the backlog (response times of M/M/1). Beyond ``buffer`` of backlog, connections are dropped, the
+heaviest or the newest first. New connections are set up in order of arrival, by as many workers as there are cores and
+then by the store. A server that is cold by the settings fails when it gets more than ``N + 2 * sqrt(N) + 2`` new
+connections of mean work in any window of ``rules.fall``; a connection counts with the mean work of its class.
+``cold_limit`` defines N: it depends on the cold share and warm-up of the settings, not on those of the server.
 """
 
 from __future__ import annotations
@@ -28,62 +29,62 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-ROUND = 100 * MS  # between two looks at a server that is cold or has work piled up
-NOTE = SECOND  # between two notes of how long messages take
+REVIEW_INTERVAL_NS = 100 * MS  # between updates of a server that is cold or has a backlog
+DELAY_NOTE_INTERVAL_NS = SECOND  # between delay notes to one relay
 
 
-class Seat(Protocol):
-    """The other end of a connection at a server, or of one that asks for it."""
+class ConnectionPeer(Protocol):
+    """The relay's end of a connection, or of an attempt to set one up."""
 
     relay: str
 
     def up(self) -> None:
-        """Hear that it stands."""
+        """Handle the end of the set-up: the connection is established."""
 
     def turned_away(self) -> None:
-        """Hear that the server has no room: it never ran."""
+        """Handle a refusal for lack of capacity: no set-up work was done."""
 
     def error(self) -> None:
-        """Hear that it failed."""
+        """Handle a failed set-up."""
 
     def load(self, amount: float) -> None:
-        """Hear the connection's load, in microseconds of work a second."""
+        """Handle a report of the connection's load, in microseconds of work per second."""
 
     def delay(self, ms: float) -> None:
-        """Hear how long a message takes at this server now."""
+        """Handle a note of the current response time of the server."""
 
     def sent_away(self) -> None:
-        """Hear that the server drains and ends the connection politely."""
+        """Handle the end of the connection because the server drains."""
 
     def reset(self) -> None:
-        """Hear that the connection broke."""
+        """Handle a reset of the connection."""
 
 
-class Means(Protocol):
-    """What connections ask for on average; loads are of a reference core."""
+class MeanLoads(Protocol):
+    """Mean loads of connections, in reference cores."""
 
-    mean_load: float  # of those that stand
-    mean_work: float  # of those that come
+    mean_load: float  # of established connections
+    mean_work: float  # of new connections
     relative_works: list[float]  # of new connections, by class, relative to mean_work
 
 
-class Held(msgspec.Struct, eq=False):
-    """A connection at a server, from its arrival until its end."""
+class ServerConnection(msgspec.Struct, eq=False):
+    """A connection at a server, from its arrival to its end."""
 
-    seat: Seat
+    peer: ConnectionPeer
     id: str
     cls: int
     group: str
-    load: float  # of a reference core
-    draw: np.random.Generator
-    cell: int = 0  # class and tenant, as service is booked
-    stands: bool = False
-    silent: bool = False  # its messages are answered no more
-    over: bool = False
+    load: float  # in reference cores
+    rng: np.random.Generator
+    cell: int = 0  # index of its class and tenant in the service accounts
+    established: bool = False
+    silent: bool = False  # its messages are not answered any more
+    closed: bool = False
 
 
 class TileServer:
-    """One process on one machine."""
+    """A tile server process on its own machine."""
 
     def __init__(
         self,
@@ -92,357 +93,375 @@
         name: str,
         zone: int,
         model: Model,
-        draw: np.random.Generator,
+        rng: np.random.Generator,
         service: Service,
         checker: RuleChecker,
         store: Station,
         store_time: Callable[[], int],
-        means: Means,
-        started: int = 0,
+        mean_loads: MeanLoads,
+        started_at: int = 0,
     ) -> None:
-        self.kernel, self.day, self.model, self.draw = kernel, day, model, draw
+        self.kernel, self.day, self.model, self.rng = kernel, day, model, rng
         self.service, self.checker = service, checker
         self.store, self.store_time = store, store_time
-        self.name, self.zone, self.started = name, zone, started
-        self.means = means
-        self.mean_load = means.mean_load
-        self.power = model.cores * _drawn(draw, model.speed)  # reference cores, when warm
-        self.cold_from = _drawn(draw, model.cold_from)
-        self.cold_time = int(_drawn(draw, model.cold)) if started else 0
-        self.period = int(_drawn(draw, day.servers.report_period))
-        self.age = int(_drawn(draw, day.servers.report_delay))
-        self.phase = int(draw.integers(0, self.period))
-        self.held: dict[str, Held] = {}
-        self.groups: dict[str, int] = {}
-        self.counts = [0] * len(day.classes) * service.tenant_count  # connections that stand, by class and tenant
-        self.told = 0.0  # loads of those that stand, in reference cores
-        self.piled = 0.0  # seconds of its own work
-        self.tills = Station(kernel, model.cores, patience=None)
-        self.coming = 0.0  # set-up work that waits, in seconds of a reference core
+        self.name, self.zone, self.started_at = name, zone, started_at  # 0: warm, started before the run
+        self.mean_loads = mean_loads
+        self.mean_load = mean_loads.mean_load
+        self.power = model.cores * _sample(rng, model.speed)  # in reference cores, when warm
+        self.cold_from = _sample(rng, model.cold_from)
+        self.cold_time = int(_sample(rng, model.cold)) if started_at else 0
+        self.report_period = int(_sample(rng, day.servers.report_period))
+        self.report_age = int(_sample(rng, day.servers.report_delay))
+        self.report_phase = int(rng.integers(0, self.report_period))
+        self.connections: dict[str, ServerConnection] = {}
+        self.group_counts: dict[str, int] = {}  # established connections by group
+        self.served_counts = [0] * len(day.classes) * service.tenant_count  # connections being served, by cell
+        self.connection_load = 0.0  # of established connections, in reference cores
+        self.backlog_s = 0.0  # message work not yet done, in seconds of its own capacity
+        self.set_up_workers = Station(kernel, model.cores, patience=None)
+        self.queued_set_up_work = 0.0  # in seconds of a reference core
         self.alive, self.draining, self.hung, self.reachable = True, False, False, True
         self.on_death: Callable[[bool], None] = lambda silently: None
-        self.given = 1.0  # share of the machine that it gets, times how fast that runs
-        self.errors = 0.0  # share of set-ups that fail
+        self.machine_factor = 1.0  # share of the machine available to it, times the relative speed of the machine
+        self.error_share = 0.0  # share of set-ups that fail
         self.paused_until = 0
-        self.errors_seen = 0
-        self._seen = kernel.now
-        self._looks = False
-        self._noted: dict[str, int] = {}  # relays that were told of slow messages, and when
-        self._past: list[tuple[int, float, int]] = [(0, 0.0, 0)]  # when, asked, connections
-        self._arrived: list[tuple[int, str, float]] = []  # while cold: when, from which relay, and its part of N
-        if started:
-            self._look_soon()
+        self.error_count = 0
+        self._updated_at = kernel.now
+        self._review_scheduled = False
+        self._delay_noted_at: dict[str, int] = {}  # by relay: time of the last note that messages are slow
+        self._load_history: list[tuple[int, float, int]] = [(0, 0.0, 0)]  # time, utilisation, connections
+        self._cold_arrivals: list[tuple[int, str, float]] = []  # while cold: time, relay, relative work
+        if started_at:
+            self._schedule_review()
 
-    # What it can do
+    # Capacity
 
     def warmth(self) -> float:
-        """Return the share of its power that it has now."""
-        age = self.kernel.now - self.started
-        if not self.started or age >= self.cold_time:
+        """Return its present capacity as a share of its capacity when warm."""
+        age = self.kernel.now - self.started_at
+        if not self.started_at or age >= self.cold_time:
             return 1.0
         return self.cold_from + (1 - self.cold_from) * age / self.cold_time
 
-    def asked(self) -> float:
-        """Return the load asked over what it can do now."""
-        groups = self.day.servers.group_cost * self.mean_load * len(self.groups)
-        return (self.told + groups) / (self.power * self.warmth() * self.given)
+    def utilisation(self) -> float:
+        """Return the demand over the present capacity; it can exceed 1."""
+        group_load = self.day.servers.group_cost * self.mean_load * len(self.group_counts)
+        return (self.connection_load + group_load) / (self.power * self.warmth() * self.machine_factor)
 
-    def stands_still(self) -> bool:
-        """Tell whether it answers nothing at present."""
+    def is_stalled(self) -> bool:
+        """Return whether it answers nothing at present: it is hung, paused or dead."""
         return self.hung or not self.alive or self.kernel.now < self.paused_until
 
     def delay_ms(self, cls: int) -> float:
-        """Return how long a message of a class takes now."""
+        """Return the present response time of a message of a class, in ms."""
         idle = self.day.servers.message * self.day.classes[cls].message / MS
-        return idle / (1 - min(self.asked(), 0.98)) + self.piled * 1000
+        return idle / (1 - min(self.utilisation(), 0.98)) + self.backlog_s * 1000
 
     # Connections
 
-    def arrive(self, held: Held) -> None:
-        """Take the first line of a connection; its seat hears what becomes of it."""
-        self.touch()
-        self.held[held.id] = held
-        self._press(held)
+    def arrive(self, connection: ServerConnection) -> None:
+        """Handle the first line of a connection; the result is reported to its peer."""
+        self.update()
+        self.connections[connection.id] = connection
+        self._check_cold_limit(connection)
         if not self.alive or self.hung:
-            return  # it was accepted, and nothing will be said
-        if self.draw.random() < self.errors:
-            self.errors_seen += 1
-            self._answer(held, held.seat.error)
-        elif self.draining or self._full():
-            self._answer(held, held.seat.turned_away)
+            return  # the connection was accepted, but is never answered
+        if self.rng.random() < self.error_share:
+            self.error_count += 1
+            self._answer(connection, connection.peer.error)
+        elif self.draining or self._is_full():
+            self._answer(connection, connection.peer.turned_away)
         else:
-            work = _drawn(self.draw, self.day.servers.setup) / SECOND
-            self.coming += work
-            took = work / (self.power / self.model.cores * self.warmth() * self.given)
-            self.tills.submit(int(took * SECOND), lambda served: self._set_up(held, work, took))
-
-    def stands_already(self, held: Held) -> None:
-        """Hold a connection from before the run."""
-        self.held[held.id] = held
-        self._stand(held)
-
-    def leave(self, held: Held) -> None:
-        """Hear that the other side ended a connection, or gave it up."""
-        self.touch()
-        self._drop(held)
+            work = _sample(self.rng, self.day.servers.setup) / SECOND
+            self.queued_set_up_work += work
+            duration_s = work / (self.power / self.model.cores * self.warmth() * self.machine_factor)
+            self.set_up_workers.submit(
+                int(duration_s * SECOND), lambda served: self._set_up_done(connection, work, duration_s)
+            )
+
+    def add_established(self, connection: ServerConnection) -> None:
+        """Add a connection that was established before the run."""
+        self.connections[connection.id] = connection
+        self._establish(connection)
+
+    def leave(self, connection: ServerConnection) -> None:
+        """Handle the end of a connection, or of an attempt, by the relay."""
+        self.update()
+        self._remove(connection)
 
     def probe(self) -> tuple[float, ...] | None:
-        """Return a load report, or nothing where it answers nothing."""
-        if self.stands_still():
+        """Return the fields of a load report, or None while it is stalled.
+
+        The values are those of the latest refresh that is at least ``report_age`` old.
+        """
+        if self.is_stalled():
             return None
-        moment = (self.kernel.now - self.age - self.phase) // self.period * self.period + self.phase
-        place = bisect_right(self._past, (moment, math.inf, 0)) - 1
-        _, asked, count = self._past[max(0, place)]
-        noise = 1 + self.day.servers.report_noise * float(self.draw.standard_normal())
+        shown_at = (
+            self.kernel.now - self.report_age - self.report_phase
+        ) // self.report_period * self.report_period + self.report_phase
+        index = bisect_right(self._load_history, (shown_at, math.inf, 0)) - 1
+        _, utilisation, count = self._load_history[max(0, index)]
+        noise = 1 + self.day.servers.report_noise * float(self.rng.standard_normal())
         values = {
-            "eps": float(self.errors_seen),
+            "eps": float(self.error_count),
             "inflight": float(count),
-            "x0": max(0.0, asked * noise),
-            "queue": float(len(self.tills.waiting)),
+            "x0": max(0.0, utilisation * noise),
+            "queue": float(len(self.set_up_workers.waiting)),
         }
         return tuple(values[name] for name in self.day.rules.report_fields)
 
-    # What befalls it
+    # Faults and administration
 
-    def hang(self, on: bool) -> None:
-        """Answer nothing, or answer again."""
-        self.touch()
-        self.hung = on
-        self._look_soon()
+    def hang(self, hung: bool) -> None:
+        """Stop answering, or answer again."""
+        self.update()
+        self.hung = hung
+        self._schedule_review()
 
     def pause(self, until: int) -> None:
-        """Stand still for a while."""
-        self.touch()
+        """Stop all work until a time, in ns."""
+        self.update()
         self.paused_until = until
-        self.kernel.at(until, self.touch)
-        self._look_soon()
+        self.kernel.at(until, self.update)
+        self._schedule_review()
 
     def drain(self) -> None:
-        """Want nothing new, and send the clients away if that is its habit."""
+        """Refuse new connections and, if ``servers.goaway`` is set, close the established ones."""
         self.draining = True
         if self.day.servers.goaway:
-            for held in list(self.held.values()):
-                if held.stands:
-                    held.seat.sent_away()
-                    self._drop(held)
+            for connection in list(self.connections.values()):
+                if connection.established:
+                    connection.peer.sent_away()
+                    self._remove(connection)
 
     def die(self, silently: bool = False) -> None:
-        """End the process: connections are reset; a machine that vanishes leaves them open and silent."""
-        self.touch()
+        """End the process and reset its connections; ``silently``: the machine vanishes, and they stay open."""
+        self.update()
         self.alive, self.reachable = False, not silently
         if not silently:
-            for held in list(self.held.values()):
-                held.seat.reset()
-                self._drop(held)
+            for connection in list(self.connections.values()):
+                connection.peer.reset()
+                self._remove(connection)
         self.on_death(silently)
 
-    def reset_some(self, part: float) -> None:
-        """Break a share of the connections."""
-        for held in list(self.held.values()):
-            if held.stands and self.draw.random() < part:
-                held.seat.reset()
-                self._drop(held)
-
-    def silence_some(self, part: float) -> None:
-        """Answer nothing more on a share of the connections, while the others go on."""
-        self.touch()
-        for held in self.held.values():
-            if held.stands and not held.silent and self.draw.random() < part:
-                held.silent = True
-                self.counts[held.cell] -= 1
-
-    def gets(self, times: float) -> None:
-        """Get so many times of the machine that it had: another program takes or leaves some, or it runs slower."""
-        self.touch()
-        self.given *= times
-        self._log()
-        self._look_soon()
-
-    def reports_late(self, span: int) -> None:
-        """Have reports come so much later, or earlier again."""
-        self.age += span
+    def reset_some(self, share: float) -> None:
+        """Reset a random share of the established connections."""
+        for connection in list(self.connections.values()):
+            if connection.established and self.rng.random() < share:
+                connection.peer.reset()
+                self._remove(connection)
+
+    def silence_some(self, share: float) -> None:
+        """Stop answering on a random share of the established connections, while the others are served."""
+        self.update()
+        for connection in self.connections.values():
+            if connection.established and not connection.silent and self.rng.random() < share:
+                connection.silent = True
+                self.served_counts[connection.cell] -= 1
+
+    def scale_machine(self, factor: float) -> None:
+        """Multiply the available part or speed of the machine: another program takes or frees some, or it is slower."""
+        self.update()
+        self.machine_factor *= factor
+        self._record_load()
+        self._schedule_review()
+
+    def delay_reports(self, delay: int) -> None:
+        """Make load reports older by ``delay`` ns; a negative delay reverts that."""
+        self.report_age += delay
 
     # Inside
 
-    def touch(self) -> None:
-        """Book what was served since the last look, and pile up or work off."""
+    def update(self) -> None:
+        """Record the service since the last update, adjust the backlog, and drop connections beyond ``buffer``."""
         now = self.kernel.now
-        span = (now - self._seen) / SECOND
+        span = (now - self._updated_at) / SECOND
         if span > 0:
-            asked, still = self.asked(), self.stands_still()
-            before = self.piled
-            self.piled = max(0.0, before + span * (asked if still else asked - 1))
-            if not still:
-                self._book(asked, (before + self.piled) / 2, span)
-            self._seen = now
-        while self.piled > self.day.servers.buffer.low / SECOND and self.counts_any() and not self.hung:
+            utilisation, stalled = self.utilisation(), self.is_stalled()
+            before = self.backlog_s
+            self.backlog_s = max(0.0, before + span * (utilisation if stalled else utilisation - 1))
+            if not stalled:
+                self._record_service(utilisation, (before + self.backlog_s) / 2, span)
+            self._updated_at = now
+        while self.backlog_s > self.day.servers.buffer.low / SECOND and self.has_established() and not self.hung:
             self._shed()
 
-    def counts_any(self) -> bool:
-        """Tell whether any connection stands."""
-        return any(held.stands for held in self.held.values())
+    def has_established(self) -> bool:
+        """Return whether any connection is established."""
+        return any(connection.established for connection in self.connections.values())
 
-    def _book(self, asked: float, piled: float, span: float) -> None:
-        for cell, count in enumerate(self.counts):
+    def _record_service(self, utilisation: float, backlog_s: float, span: float) -> None:
+        for cell, count in enumerate(self.served_counts):
             if count:
-                wanted = self.day.classes[cell // self.service.tenant_count].message / SECOND
-                left = max(0.0, wanted - piled)
-                share = 1 - math.exp(-max(0.0, 1 - asked) * left / (self.day.servers.message * wanted))
-                if asked >= 1 and piled <= 0:
+                target = self.day.classes[cell // self.service.tenant_count].message / SECOND
+                remaining = max(0.0, target - backlog_s)
+                share = 1 - math.exp(-max(0.0, 1 - utilisation) * remaining / (self.day.servers.message * target))
+                if utilisation >= 1 and backlog_s <= 0:
                     share = 0.0
-                self.service.record_served(cell, self._seen, span, share * count)
+                self.service.record_served(cell, self._updated_at, span, share * count)
 
     def _shed(self) -> None:
-        standing = [held for held in self.held.values() if held.stands]  # in the order in which they came
+        # In order of arrival.
+        established = [connection for connection in self.connections.values() if connection.established]
         newest = self.day.servers.sheds == "newest"
-        one = standing[-1] if newest else max(standing, key=lambda held: (held.load, held.id))
-        self.piled = max(0.0, self.piled - 0.1)
-        one.seat.reset()
-        self._drop(one)
-
-    def _full(self) -> bool:
-        crowded = self.model.cap and len(self.held) > self.model.cap
-        return bool(crowded) or self.coming > self.day.servers.queue.low / SECOND * self.power
-
-    def _answer(self, held: Held, tell: Callable[[], None]) -> None:
-        if self.stands_still():
+        dropped = (
+            established[-1] if newest else max(established, key=lambda connection: (connection.load, connection.id))
+        )
+        self.backlog_s = max(0.0, self.backlog_s - 0.1)
+        dropped.peer.reset()
+        self._remove(dropped)
+
+    def _is_full(self) -> bool:
+        at_cap = self.model.cap and len(self.connections) > self.model.cap
+        return bool(at_cap) or self.queued_set_up_work > self.day.servers.queue.low / SECOND * self.power
+
+    def _answer(self, connection: ServerConnection, answer: Callable[[], None]) -> None:
+        if self.is_stalled():
             return
-        self._drop(held)
-        tell()
+        self._remove(connection)
+        answer()
 
-    def _set_up(self, held: Held, work: float, took: float) -> None:
-        self.coming = max(0.0, self.coming - work)
-        self.service.record_set_up_work(work, held.over)
-        if not held.over:
-            self.store.submit(self.store_time(), lambda called: self._called(held, called))
+    def _set_up_done(self, connection: ServerConnection, work: float, duration_s: float) -> None:
+        self.queued_set_up_work = max(0.0, self.queued_set_up_work - work)
+        self.service.record_set_up_work(work, connection.closed)
+        if not connection.closed:
+            self.store.submit(self.store_time(), lambda served: self._on_store_answer(connection, served))
 
-    def _called(self, held: Held, called: bool) -> None:
-        if held.over or self.stands_still():
+    def _on_store_answer(self, connection: ServerConnection, served: bool) -> None:
+        if connection.closed or self.is_stalled():
             return
-        if not called or self.draining:
-            self._answer(held, held.seat.error if not called else held.seat.turned_away)
+        if not served or self.draining:
+            self._answer(connection, connection.peer.error if not served else connection.peer.turned_away)
             return
-        held.seat.up()
-        self._stand(held)
-
-    def _stand(self, held: Held) -> None:
-        self.touch()
-        held.stands = True
-        self.counts[held.cell] += 1
-        self.told += held.load
-        if held.group:
-            self.groups[held.group] = self.groups.get(held.group, 0) + 1
-        self._log()
+        connection.peer.up()
+        self._establish(connection)
+
+    def _establish(self, connection: ServerConnection) -> None:
+        self.update()
+        connection.established = True
+        self.served_counts[connection.cell] += 1
+        self.connection_load += connection.load
+        if connection.group:
+            self.group_counts[connection.group] = self.group_counts.get(connection.group, 0) + 1
+        self._record_load()
         if self.day.servers.tells_load:
-            held.seat.load(held.load * 1e6)
-        self._change_later(held)
-        self._look_soon()
+            connection.peer.load(connection.load * 1e6)
+        self._schedule_load_change(connection)
+        self._schedule_review()
 
-    def _change_later(self, held: Held) -> None:
-        cls = self.day.classes[held.cls]
+    def _schedule_load_change(self, connection: ServerConnection) -> None:
+        cls = self.day.classes[connection.cls]
         if cls.swing > 0:
-            self.kernel.after(int(_drawn(held.draw, cls.change)), lambda: self._change(held))
+            self.kernel.after(int(_sample(connection.rng, cls.change)), lambda: self._change_load(connection))
 
-    def _change(self, held: Held) -> None:
-        if held.over or not held.stands:
+    def _change_load(self, connection: ServerConnection) -> None:
+        if connection.closed or not connection.established:
             return
-        self.touch()
-        factor = math.exp(self.day.classes[held.cls].swing * float(held.draw.standard_normal()))
-        # Guards against loads that wander off: half of the way back to the mean each time.
-        wanted = math.sqrt(held.load * self.mean_load) * factor
-        self.told += wanted - held.load
-        held.load = wanted
-        self._log()
-        if self.day.servers.tells_load and not self.stands_still() and not held.silent:
-            held.seat.load(held.load * 1e6)
-        self._change_later(held)
-        self._look_soon()
-
-    def _drop(self, held: Held) -> None:
-        if held.over:
+        self.update()
+        factor = math.exp(self.day.classes[connection.cls].swing * float(connection.rng.standard_normal()))
+        # Each change moves the load halfway to the mean (on a log scale); otherwise loads would drift without bound.
+        new_load = math.sqrt(connection.load * self.mean_load) * factor
+        self.connection_load += new_load - connection.load
+        connection.load = new_load
+        self._record_load()
+        if self.day.servers.tells_load and not self.is_stalled() and not connection.silent:
+            connection.peer.load(connection.load * 1e6)
+        self._schedule_load_change(connection)
+        self._schedule_review()
+
+    def _remove(self, connection: ServerConnection) -> None:
+        if connection.closed:
             return
-        held.over = True
-        self.held.pop(held.id, None)
-        self.checker.attempt_closed(held.id, self.name, self.kernel.now)
-        if held.stands:
-            self.counts[held.cell] -= not held.silent
-            self.told = max(0.0, self.told - held.load)
-            if held.group:
-                self.groups[held.group] -= 1
-                if not self.groups[held.group]:
-                    del self.groups[held.group]
-        self._log()
-
-    def _log(self) -> None:
+        connection.closed = True
+        self.connections.pop(connection.id, None)
+        self.checker.attempt_closed(connection.id, self.name, self.kernel.now)
+        if connection.established:
+            self.served_counts[connection.cell] -= not connection.silent
+            self.connection_load = max(0.0, self.connection_load - connection.load)
+            if connection.group:
+                self.group_counts[connection.group] -= 1
+                if not self.group_counts[connection.group]:
+                    del self.group_counts[connection.group]
+        self._record_load()
+
+    def _record_load(self) -> None:
         now = self.kernel.now
-        self._past.append((now, self.asked(), len(self.held)))
-        if len(self._past) > 256:
-            keep = bisect_right(self._past, (now - self.age - 2 * self.period, math.inf, 0)) - 1
-            self._past = self._past[max(0, keep) :]
+        self._load_history.append((now, self.utilisation(), len(self.connections)))
+        if len(self._load_history) > 256:
+            keep = bisect_right(self._load_history, (now - self.report_age - 2 * self.report_period, math.inf, 0)) - 1
+            self._load_history = self._load_history[max(0, keep) :]
 
-    def _press(self, held: Held) -> None:
-        """Note what a cold server is sent, and have it fall over where that is too much for one window."""
+    def _check_cold_limit(self, connection: ServerConnection) -> None:
+        """Count a connection that arrives while the server is cold; end the process if the window exceeds its limit."""
         now, rules = self.kernel.now, self.day.rules
-        if not (self.alive and self.started and now - self.started < self.day.servers.warm_after):
+        if not (self.alive and self.started_at and now - self.started_at < self.day.servers.warm_after):
             return
-        self._arrived = [each for each in self._arrived if each[0] > now - rules.fall]
-        self._arrived.append((now, held.seat.relay, self.means.relative_works[held.cls]))
-        allowed = self.allowed()
-        if sum(work for *_, work in self._arrived) > allowed + 2 * math.sqrt(allowed) + 2:
-            self.checker.cold_server_overloaded(self.name, now, [relay for _, relay, _ in self._arrived], allowed)
+        self._cold_arrivals = [arrival for arrival in self._cold_arrivals if arrival[0] > now - rules.fall]
+        self._cold_arrivals.append((now, connection.peer.relay, self.mean_loads.relative_works[connection.cls]))
+        limit = self.cold_limit()
+        if sum(work for *_, work in self._cold_arrivals) > limit + 2 * math.sqrt(limit) + 2:
+            self.checker.cold_server_overloaded(self.name, now, [relay for _, relay, _ in self._cold_arrivals], limit)
             self.die()
 
-    def allowed(self) -> float:
-        """Return N: how many new connections of mean work the settings allow it in a window now, while it is cold.
+    def cold_limit(self) -> float:
+        """Return N: the number of new connections of mean work that the settings allow it per window while it is cold.
 
-        ``fall_multiple`` times what fills it over its warm-up, of the capacity that it has at the least by its age.
+        N is ``fall_multiple`` times the arrivals that would fill, over the warm-up, the minimum capacity at its age.
         """
         rules, servers = self.day.rules, self.day.servers
-        age = (self.kernel.now - self.started) / servers.warm_after
-        capacity = self.power / self.means.mean_work * (servers.min_cold_share + (1 - servers.min_cold_share) * age)
+        age = (self.kernel.now - self.started_at) / servers.warm_after
+        capacity = (
+            self.power / self.mean_loads.mean_work * (servers.min_cold_share + (1 - servers.min_cold_share) * age)
+        )
         return rules.fall_multiple * capacity * rules.fall / servers.warm_after
 
-    def _look_soon(self) -> None:
-        if not self._looks:
-            self._looks = True
-            self.kernel.after(ROUND, self._look)
-
-    def _look(self) -> None:
-        self._looks = False
-        self.touch()
-        self._tell_slow()
-        busy = self.piled > 0 or self.asked() > 1 or self.stands_still() or self.warmth() < 1 or self._noted
+    def _schedule_review(self) -> None:
+        if not self._review_scheduled:
+            self._review_scheduled = True
+            self.kernel.after(REVIEW_INTERVAL_NS, self._review)
+
+    def _review(self) -> None:
+        self._review_scheduled = False
+        self.update()
+        self._send_delay_notes()
+        busy = (
+            self.backlog_s > 0
+            or self.utilisation() > 1
+            or self.is_stalled()
+            or self.warmth() < 1
+            or self._delay_noted_at
+        )
         if busy and self.alive:
-            self._look_soon()
+            self._schedule_review()
 
-    def _tell_slow(self) -> None:
-        """Tell each relay once a second, on one connection, how long messages take while that is long."""
-        if self.stands_still() or not self.held:
+    def _send_delay_notes(self) -> None:
+        """Send each relay a delay note per second on one of its connections while messages are slow, and a last one."""
+        if self.is_stalled() or not self.connections:
             return
         aims = [cls.message for cls in self.day.classes]
-        slow = self.delay_ms(aims.index(min(aims)))
-        if slow * MS <= min(aims) / 3 and not self._noted:
+        delay_ms = self.delay_ms(aims.index(min(aims)))
+        if delay_ms * MS <= min(aims) / 3 and not self._delay_noted_at:
             return
         now = self.kernel.now
-        first: dict[str, Held] = {}
-        for held in self.held.values():
-            if held.stands and not held.silent:
-                first.setdefault(held.seat.relay, held)
-        for relay, held in first.items():
-            self._note(relay, held, slow, slow * MS > min(aims) / 3, now)
-        self._noted = {relay: at for relay, at in self._noted.items() if relay in first}
-
-    def _note(self, relay: str, held: Held, ms: float, slow: bool, now: int) -> None:
-        told = self._noted.get(relay)
-        if slow and (told is None or now - told >= NOTE):
-            self._noted[relay] = now
-            held.seat.delay(ms)
-        elif not slow and told is not None:
-            del self._noted[relay]
-            held.seat.delay(ms)
-
-
-def _drawn(draw: np.random.Generator, ends: tuple[float, float]) -> float:
-    """Draw one value of a range."""
-    low, high = ends
-    return float(low if low == high else draw.uniform(low, high))
+        first_by_relay: dict[str, ServerConnection] = {}
+        for connection in self.connections.values():
+            if connection.established and not connection.silent:
+                first_by_relay.setdefault(connection.peer.relay, connection)
+        for relay, connection in first_by_relay.items():
+            self._send_delay_note(relay, connection, delay_ms, delay_ms * MS > min(aims) / 3, now)
+        self._delay_noted_at = {relay: at for relay, at in self._delay_noted_at.items() if relay in first_by_relay}
+
+    def _send_delay_note(self, relay: str, connection: ServerConnection, delay_ms: float, slow: bool, now: int) -> None:
+        noted_at = self._delay_noted_at.get(relay)
+        if slow and (noted_at is None or now - noted_at >= DELAY_NOTE_INTERVAL_NS):
+            self._delay_noted_at[relay] = now
+            connection.peer.delay(delay_ms)
+        elif not slow and noted_at is not None:
+            del self._delay_noted_at[relay]
+            connection.peer.delay(delay_ms)
+
+
+def _sample(rng: np.random.Generator, bounds: tuple[float, float]) -> float:
+    """Draw a value uniformly from a range; an empty range uses no random number."""
+    low, high = bounds
+    return float(low if low == high else rng.uniform(low, high))
--- a/scaledeal/lab/world/troubles.py
+++ b/scaledeal/lab/world/troubles.py
@@ -60,8 +60,8 @@
 
 def _errors(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
     for server in _some(fleet, trouble, draw):
-        server.errors = trouble.size or 1.0
-        fleet.kernel.after(lasts, lambda server=server: setattr(server, "errors", 0.0))  # type: ignore[misc]
+        server.error_share = trouble.size or 1.0
+        fleet.kernel.after(lasts, lambda server=server: setattr(server, "error_share", 0.0))  # type: ignore[misc]
 
 
 def _deploy(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
@@ -182,8 +182,8 @@
 
 def _slow(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
     for server in _some(fleet, trouble, draw):
-        server.gets(1 / trouble.size)
-        fleet.kernel.after(lasts, lambda server=server: server.gets(trouble.size))  # type: ignore[misc]
+        server.scale_machine(1 / trouble.size)
+        fleet.kernel.after(lasts, lambda server=server: server.scale_machine(trouble.size))  # type: ignore[misc]
 
 
 def _neighbour(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
@@ -192,7 +192,7 @@
 
     def turn(server: TileServer, on: bool) -> None:
         if on or fleet.kernel.now < end:
-            server.gets(1 / (1 - trouble.size) if on else 1 - trouble.size)
+            server.scale_machine(1 / (1 - trouble.size) if on else 1 - trouble.size)
             fleet.kernel.after(int(_drawn(draw, trouble.period)), lambda: turn(server, not on))
 
     for server in _some(fleet, trouble, draw):
@@ -202,8 +202,8 @@
 def _report_late(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
     late = int(trouble.size * SECOND)
     for server in list(fleet.servers.values()):
-        server.reports_late(late)
-        fleet.kernel.after(lasts, lambda server=server: server.reports_late(-late))  # type: ignore[misc]
+        server.delay_reports(late)
+        fleet.kernel.after(lasts, lambda server=server: server.delay_reports(-late))  # type: ignore[misc]
 
 
 def _discovery_down(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -163,7 +163,7 @@
 def flood(fleet: Fleet, server: TileServer, most: int = 1000, cls: int = 0) -> int:
     """Send so many requests at once, by turns from r0 to r3; return how many it took until it fell."""
     for number in range(most):
-        held = fleet.population.held(fleet.population.new_client(cls), Stub(f"r{number % 4}"))
+        held = fleet.population.server_connection(fleet.population.new_client(cls), Stub(f"r{number % 4}"))
         held.id = f"f{fleet.population.client_count}"
         server.arrive(held)
         if not server.alive:
@@ -356,9 +356,11 @@
     seen: list[float] = []
     for at in range(0, 8 * SECOND, SECOND // 10):
         fleet.kernel.run(at)
-        seen += [server.given for server in fleet.live()]
+        seen += [server.machine_factor for server in fleet.live()]
     assert {round(each, 6) for each in seen} == {1.0, 0.4}, set(seen)
-    assert {round(server.given, 6) for server in fleet.live()} == {1.0}, "all of the machine is back at the end"
+    assert {round(server.machine_factor, 6) for server in fleet.live()} == {1.0}, (
+        "all of the machine is back at the end"
+    )
 
 
 @pytest.mark.parametrize(
