--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -18,7 +18,7 @@
 from scaledeal.lab.truth import BrokenRuleError
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer
-from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
+from scaledeal.lab.world.fleet import EPOCH_MS, Fleet, RelayBackend
 from scaledeal.lab.world.placement import place_initial_connections
 from scaledeal.lab.world.relay_settings import settings_document
 from scaledeal.lab.world.server import ServerConnection, TileServer
@@ -167,7 +167,7 @@
 class ModuleRelay:
     """One relay: a balancer, its requests, its view of the list, and its core."""
 
-    def __init__(self, host: ModuleHost, door: Door, start: int) -> None:
+    def __init__(self, host: ModuleHost, door: RelayBackend, start: int) -> None:
         self.host, self.fleet, self.door = host, host.fleet, door
         day = self.fleet.day
         self.draw = self.fleet.streams.of("relay", door.name, start)
@@ -474,8 +474,8 @@
         self.fleet, self.factory = fleet, factory
         self.here: dict[int, tuple[ModuleRelay, Flight]] = {}  # where each client is, by its number
         self.starts = 0
-        self.relays = [self._start(door) for door in fleet.doors]
-        fleet.play(self)
+        self.relays = [self._start(door) for door in fleet.backends]
+        fleet.attach(self)
         self._stand()
 
     def run(self) -> None:
@@ -539,7 +539,7 @@
         relay = self.relays[number]
         if not relay.alive:
             return
-        relay.door.open = False
+        relay.door.in_rotation = False
         self.fleet.kernel.after(300 * MS, lambda: setattr(relay, "serving", False))
         relay.drains()
         self.fleet.kernel.after(STOP + PACE + 700 * MS, lambda: self.kill(number) if relay.alive else None)
@@ -586,7 +586,7 @@
 
     def _notice(self, relay: ModuleRelay) -> None:
         if self.relays[relay.door.number] is relay:
-            relay.door.open = False
+            relay.door.in_rotation = False
 
     def _start_later(self, number: int) -> None:
         low, high = self.fleet.day.relays.start
@@ -595,11 +595,11 @@
 
         def start() -> None:
             self.relays[number] = self._start(relay.door)
-            relay.door.open = True
+            relay.door.in_rotation = True
 
         self.fleet.kernel.after(wait, start)
 
-    def _start(self, door: Door) -> ModuleRelay:
+    def _start(self, door: RelayBackend) -> ModuleRelay:
         self.starts += 1
         relay = ModuleRelay(self, door, self.starts)
         directory = self.fleet.directory
@@ -627,7 +627,7 @@
                 self.relays[door.number].stands(client, places[client.number])
 
 
-def told_to(fleet: Fleet, door: Door) -> Document:
+def told_to(fleet: Fleet, door: RelayBackend) -> Document:
     """Return the settings of one relay as the platform would tell them."""
     told = settings_document(fleet.day, door.number, door.zone, fleet.population.quotas)
     return msgspec.convert(told, Document, strict=False)
@@ -645,7 +645,7 @@
         api.ServerEntry(
             each.name,
             _STATES[each.status],
-            int((each.since_ms - EPOCH) * MS) if each.since_ms else 0,
+            int((each.since_ms - EPOCH_MS) * MS) if each.since_ms else 0,
             zones[each.zone],
             each.weight,
             each.group,
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -18,7 +18,7 @@
 from scaledeal.lab.hosts.relay.reactor import OWN, Process, SimReactor
 from scaledeal.lab.hosts.relay.sockets import End, Machine, Net
 from scaledeal.lab.world.clients import Client
-from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
+from scaledeal.lab.world.fleet import EPOCH_MS, Fleet, RelayBackend
 from scaledeal.lab.world.placement import place_initial_connections
 from scaledeal.lab.world.server import TileServer
 from scaledeal.net.config import Address, Config
@@ -58,7 +58,7 @@
 
     def unix(self) -> int:
         """Return the run's time as Unix time."""
-        return self.fleet.kernel.now + EPOCH * MS
+        return self.fleet.kernel.now + EPOCH_MS * MS
 
     def port(self, clients: bool, port: int, factory: Any, backlog: int, host: str, reactor: Reactor) -> Port:
         """Return a simulated listening socket."""
@@ -70,7 +70,7 @@
 class Running:
     """One start of one relay."""
 
-    def __init__(self, host: RelayHost, door: Door, start: int) -> None:
+    def __init__(self, host: RelayHost, door: RelayBackend, start: int) -> None:
         self.host, self.door, self.start = host, door, start
         fleet = host.fleet
         self.draw = fleet.streams.of("relay", door.name, start)
@@ -129,7 +129,7 @@
         self.net = Net(fleet.kernel, fleet.paths, fleet.day.network.segment)
         self.clients: dict[str, Client] = {}  # by the id of their present connection
         self.ends: dict[str, ClientEnd] = {}
-        self.machines = [self._machine(self.address(door)[0], door.name, door.zone) for door in fleet.doors]
+        self.machines = [self._machine(self.address(door)[0], door.name, door.zone) for door in fleet.backends]
         self._crowd = self._machine("10.9.0.1", "clients", 0, True)
         self.servers: dict[str, Machine] = {}
         self.sent_away: set[str] = set()  # ids of connections that a draining server ended politely
@@ -138,9 +138,9 @@
         DirectoryListener(self, self.net, self._machine(DISCOVERY[0], "discovery", 0), DISCOVERY)
         for server in fleet.servers.values():
             self._serve(server)
-        fleet.on_start = self._serve
-        self.running = [self._start(door) for door in fleet.doors]
-        fleet.play(self)
+        fleet.on_server_start = self._serve
+        self.running = [self._start(door) for door in fleet.backends]
+        fleet.attach(self)
         self._stand()
         if fleet.day.clients.bad:
             self._bad_draw = fleet.streams.of("bad clients")
@@ -179,7 +179,7 @@
         if (end := self.ends.get(client.id)) is not None:
             end.leaves()
 
-    def _come(self, client: Client, door: Door, at: str) -> None:
+    def _come(self, client: Client, door: RelayBackend, at: str) -> None:
         id = client.id
         self.clients[id] = client
 
@@ -238,7 +238,7 @@
 
     def zone_of(self, relay: str) -> int:
         """Return a relay's zone."""
-        return next((door.zone for door in self.fleet.doors if door.name == relay), -1)
+        return next((door.zone for door in self.fleet.backends if door.name == relay), -1)
 
     def held_at(self, id: str) -> bool:
         """Tell whether a server that answers holds a connection."""
@@ -246,15 +246,15 @@
         server = self.fleet.servers.get(case.open_at) if case is not None else None
         return server is not None and id in server.connections and not server.is_stalled()
 
-    def alive(self, door: Door) -> bool:
+    def alive(self, door: RelayBackend) -> bool:
         """Tell whether a relay's process runs."""
         return self.running[door.number].alive
 
-    def took(self, door: Door) -> bool:
+    def took(self, door: RelayBackend) -> bool:
         """Tell whether a relay was there to take requests."""
         return self.running[door.number].relay is not None
 
-    def address(self, door: Door) -> tuple[str, int]:
+    def address(self, door: RelayBackend) -> tuple[str, int]:
         """Return where a relay listens."""
         return f"10.3.{door.number // 200}.{door.number % 200 + 1}", 9000
 
@@ -280,7 +280,7 @@
             return
         relay = running.relay
         running.process.do(relay.drain)
-        self.fleet.kernel.after(STOPS, lambda: setattr(running.door, "open", False))
+        self.fleet.kernel.after(STOPS, lambda: setattr(running.door, "in_rotation", False))
         self.fleet.kernel.after(TERM, lambda: self.kill(number) if running.alive else None)
 
     def upgrade(self, number: int) -> None:
@@ -328,26 +328,26 @@
 
     def _notice(self, running: Running) -> None:
         if self.running[running.door.number] is running:
-            running.door.open = False
+            running.door.in_rotation = False
 
     def _start_later(self, running: Running) -> None:
         low, high = self.fleet.day.relays.start
         wait = int(running.draw.uniform(low, high) if low < high else low)
         self.fleet.kernel.after(wait, lambda: self._again(running.door))
 
-    def _again(self, door: Door) -> None:
+    def _again(self, door: RelayBackend) -> None:
         self.running[door.number] = self._start(door)
         self._admit(door)
 
-    def _admit(self, door: Door) -> None:
+    def _admit(self, door: RelayBackend) -> None:
         """Have the front send clients once the relay says that it serves."""
         running = self.running[door.number]
         if running.serves():
-            door.open = True
+            door.in_rotation = True
         elif running.alive:
             self.fleet.kernel.after(100 * MS, lambda: self._admit(door))
 
-    def _start(self, door: Door) -> Running:
+    def _start(self, door: RelayBackend) -> Running:
         self.starts += 1
         return Running(self, door, self.starts)
 
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -15,7 +15,7 @@
 from scaledeal.lab.kernel import ScheduledCall
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer, Directory
-from scaledeal.lab.world.fleet import Door, Fleet
+from scaledeal.lab.world.fleet import Fleet, RelayBackend
 from scaledeal.lab.world.server import ServerConnection, TileServer
 
 if TYPE_CHECKING:
@@ -358,7 +358,7 @@
 class ClientEnd(LineEnd):
     """A client's connection to a relay."""
 
-    def __init__(self, host: RelayHost, client: Client, door: Door, end: End, at: str) -> None:
+    def __init__(self, host: RelayHost, client: Client, door: RelayBackend, end: End, at: str) -> None:
         super().__init__(end)
         self.host, self.client, self.door = host, client, door
         self.id = client.id
--- a/scaledeal/lab/world/troubles.py
+++ b/scaledeal/lab/world/troubles.py
@@ -1,6 +1,7 @@
-"""What goes wrong, and when: each kind is one function that plans its own beginning and end.
+"""Troubles: the faults of a scenario. Each kind is one function, called at the start, that schedules the end.
 
-Whom a trouble befalls is drawn from a stream of its own, by its place in the file: a trouble more changes no other's.
+Each trouble draws the servers or relays that it affects from its own random stream, identified by its position in the
+file, so that appending a trouble does not change the others.
 """
 
 from __future__ import annotations
@@ -14,209 +15,209 @@
 from scaledeal.lab.world.server import TileServer
 
 MS = 1_000_000
-Plan = Callable[[Fleet, Trouble, np.random.Generator, int], None]
+TroubleStarter = Callable[[Fleet, Trouble, np.random.Generator, int], None]
 
 
-def begin(fleet: Fleet) -> None:
-    """Plan all troubles of a day."""
+def schedule_troubles(fleet: Fleet) -> None:
+    """Schedule the start of all troubles of a day."""
     for number, trouble in enumerate(fleet.day.trouble):
-        draw = fleet.streams.of("trouble", number)
-        lasts = int(_drawn(draw, trouble.lasts))
-        moment = int(_drawn(draw, trouble.at))
-        fleet.kernel.at(moment, lambda t=trouble, d=draw, s=lasts: PLANS[t.name](fleet, t, d, s))  # type: ignore[misc]
+        rng = fleet.streams.of("trouble", number)
+        duration = int(_sample(rng, trouble.lasts))
+        start = int(_sample(rng, trouble.at))
+        fleet.kernel.at(start, lambda t=trouble, r=rng, d=duration: TROUBLE_STARTERS[t.name](fleet, t, r, d))  # type: ignore[misc]
 
 
-def _some(fleet: Fleet, trouble: Trouble, draw: np.random.Generator) -> list[TileServer]:
+def _affected_servers(fleet: Fleet, trouble: Trouble, rng: np.random.Generator) -> list[TileServer]:
     live = fleet.live()
     if trouble.zone is not None:
         live = [server for server in live if server.zone == trouble.zone]
-    many = int(round(_drawn(draw, trouble.part) * len(live)))
-    return [live[place] for place in sorted(draw.permutation(len(live))[:many])]
+    count = int(round(_sample(rng, trouble.part) * len(live)))
+    return [live[index] for index in sorted(rng.permutation(len(live))[:count])]
 
 
-def _relays(fleet: Fleet, trouble: Trouble, draw: np.random.Generator) -> list[int]:
-    count = len(fleet.doors)
-    many = int(round(_drawn(draw, trouble.part) * count))
-    return [int(place) for place in draw.permutation(count)[:many]]
+def _affected_relays(fleet: Fleet, trouble: Trouble, rng: np.random.Generator) -> list[int]:
+    total = len(fleet.backends)
+    count = int(round(_sample(rng, trouble.part) * total))
+    return [int(index) for index in rng.permutation(total)[:count]]
 
 
-def _hang(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    for server in _some(fleet, trouble, draw):
+def _hang(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    for server in _affected_servers(fleet, trouble, rng):
         server.hang(True)
-        fleet.kernel.after(lasts, lambda server=server: server.hang(False))  # type: ignore[misc]
+        fleet.kernel.after(duration, lambda server=server: server.hang(False))  # type: ignore[misc]
 
 
-def _pauses(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    end = fleet.kernel.now + lasts
+def _pauses(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    end = fleet.kernel.now + duration
 
-    def stand_still(server: TileServer) -> None:
+    def pause(server: TileServer) -> None:
         if fleet.kernel.now < end and server.alive:
             server.pause(fleet.kernel.now + int(trouble.size * MS))
-            fleet.kernel.after(int(_drawn(draw, trouble.period)), lambda: stand_still(server))
+            fleet.kernel.after(int(_sample(rng, trouble.period)), lambda: pause(server))
 
-    for server in _some(fleet, trouble, draw):
-        fleet.kernel.after(int(draw.random() * trouble.period.low), lambda server=server: stand_still(server))  # type: ignore[misc]
+    for server in _affected_servers(fleet, trouble, rng):
+        fleet.kernel.after(int(rng.random() * trouble.period.low), lambda server=server: pause(server))  # type: ignore[misc]
 
 
-def _errors(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    for server in _some(fleet, trouble, draw):
+def _errors(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    for server in _affected_servers(fleet, trouble, rng):
         server.error_share = trouble.size or 1.0
-        fleet.kernel.after(lasts, lambda server=server: setattr(server, "error_share", 0.0))  # type: ignore[misc]
+        fleet.kernel.after(duration, lambda server=server: setattr(server, "error_share", 0.0))  # type: ignore[misc]
 
 
-def _deploy(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    """Replace a part in steps of ``size`` of the fleet; each leaves, and a cold one of its model takes its place."""
-    going = _some(fleet, trouble, draw)
+def _deploy(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    """Replace affected servers by cold ones of the same model, in steps of ``size`` of the fleet."""
+    leaving = _affected_servers(fleet, trouble, rng)
     step = max(1, int(round(trouble.size * len(fleet.live()))))
-    steps = [going[at : at + step] for at in range(0, len(going), step)]
+    steps = [leaving[at : at + step] for at in range(0, len(leaving), step)]
     for number, servers in enumerate(steps):
         fleet.kernel.after(
-            lasts * number // max(1, len(steps)),
-            lambda servers=servers: _replace(fleet, servers, trouble, draw),  # type: ignore[misc]
+            duration * number // max(1, len(steps)),
+            lambda servers=servers: _replace(fleet, servers, trouble, rng),  # type: ignore[misc]
         )
 
 
-def _replace(fleet: Fleet, servers: list[TileServer], trouble: Trouble, draw: np.random.Generator) -> None:
+def _replace(fleet: Fleet, servers: list[TileServer], trouble: Trouble, rng: np.random.Generator) -> None:
     for server in servers:
         if not server.alive:
             continue
         fleet.drain_server(server)
-        wait = int(_drawn(draw, trouble.period))  # until the successor's process runs
+        wait = int(_sample(rng, trouble.period))  # until the process of the replacement runs
         fleet.kernel.after(wait, lambda s=server: fleet.start_server(s.model, s.zone))  # type: ignore[misc]
 
 
-def _shrink(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    """Take away a part of the fleet, and ``size`` of the clients' rate with it."""
+def _shrink(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    """Drain the affected servers one after another, and reduce the arrival rate of clients by ``size`` for good."""
     fleet.population.extra_rate -= trouble.size
-    going = _some(fleet, trouble, draw)
-    for number, server in enumerate(going):
-        fleet.kernel.after(lasts * number // max(1, len(going)), lambda s=server: fleet.drain_server(s))  # type: ignore[misc]
+    leaving = _affected_servers(fleet, trouble, rng)
+    for number, server in enumerate(leaving):
+        fleet.kernel.after(duration * number // max(1, len(leaving)), lambda s=server: fleet.drain_server(s))  # type: ignore[misc]
 
 
-def _stale_roster(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    late = int((trouble.size or 5.0) * SECOND)
-    fleet.directory.extra_delay += late
-    fleet.kernel.after(lasts, lambda: setattr(fleet.directory, "extra_delay", fleet.directory.extra_delay - late))
+def _stale_roster(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    delay = int((trouble.size or 5.0) * SECOND)
+    fleet.directory.extra_delay += delay
+    fleet.kernel.after(duration, lambda: setattr(fleet.directory, "extra_delay", fleet.directory.extra_delay - delay))
 
 
-def _silent_streams(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    part = _drawn(draw, trouble.part)
+def _silent_streams(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    share = _sample(rng, trouble.part)
     for server in fleet.live():
-        server.silence_some(part)
+        server.silence_some(share)
 
 
-def _crash(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    for server in _some(fleet, trouble, draw):
-        _lose(fleet, server, lasts, False)
+def _crash(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    for server in _affected_servers(fleet, trouble, rng):
+        _end_server(fleet, server, duration, False)
 
 
-def _lose(fleet: Fleet, server: TileServer, lasts: int, silently: bool) -> None:
+def _end_server(fleet: Fleet, server: TileServer, duration: int, silently: bool) -> None:
     fleet.end_server(server, silently)
-    if lasts:
-        fleet.kernel.after(lasts, lambda: fleet.start_server(server.model, server.zone))
+    if duration:
+        fleet.kernel.after(duration, lambda: fleet.start_server(server.model, server.zone))
 
 
-def _zone(fleet: Fleet, trouble: Trouble, draw: np.random.Generator) -> int:
-    return trouble.zone if trouble.zone is not None else int(draw.integers(len(fleet.day.zones)))
+def _affected_zone(fleet: Fleet, trouble: Trouble, rng: np.random.Generator) -> int:
+    return trouble.zone if trouble.zone is not None else int(rng.integers(len(fleet.day.zones)))
 
 
-def _zone_lost(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    """Lose all machines of a zone without a word; they come back cold."""
-    zone = _zone(fleet, trouble, draw)
-    for server in [each for each in fleet.live() if each.zone == zone]:
-        _lose(fleet, server, lasts, True)
+def _zone_lost(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    """Make all machines of a zone vanish without notice; they are replaced by cold ones at the end."""
+    zone = _affected_zone(fleet, trouble, rng)
+    for server in [candidate for candidate in fleet.live() if candidate.zone == zone]:
+        _end_server(fleet, server, duration, True)
 
 
-def _zone_cut(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    zone, zones = _zone(fleet, trouble, draw), len(fleet.day.zones)
-    fleet.paths.set_cut(zone, zones, trouble.one_way, True)
-    fleet.kernel.after(lasts, lambda: fleet.paths.set_cut(zone, zones, trouble.one_way, False))
+def _zone_cut(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    zone, zone_count = _affected_zone(fleet, trouble, rng), len(fleet.day.zones)
+    fleet.paths.set_cut(zone, zone_count, trouble.one_way, True)
+    fleet.kernel.after(duration, lambda: fleet.paths.set_cut(zone, zone_count, trouble.one_way, False))
 
 
-def _resets(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    """Break a part of all connections, every period."""
-    end, part = fleet.kernel.now + lasts, _drawn(draw, trouble.part)
+def _resets(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    """Reset a share of the connections of every server, once per period."""
+    end, share = fleet.kernel.now + duration, _sample(rng, trouble.part)
 
-    def again() -> None:
+    def reset_connections() -> None:
         for server in fleet.live():
-            server.reset_some(part)
+            server.reset_some(share)
         if fleet.kernel.now < end:
-            fleet.kernel.after(int(_drawn(draw, trouble.period)), again)
+            fleet.kernel.after(int(_sample(rng, trouble.period)), reset_connections)
 
-    again()
+    reset_connections()
 
 
-def _slow_store(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    fleet.store_slow *= trouble.size
-    fleet.kernel.after(lasts, lambda: setattr(fleet, "store_slow", fleet.store_slow / trouble.size))
+def _slow_store(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    fleet.store_slowdown *= trouble.size
+    fleet.kernel.after(duration, lambda: setattr(fleet, "store_slowdown", fleet.store_slowdown / trouble.size))
 
 
-def _crowd(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
+def _crowd(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
     fleet.population.extra_rate += trouble.size
     fleet.kernel.after(
-        lasts, lambda: setattr(fleet.population, "extra_rate", fleet.population.extra_rate - trouble.size)
+        duration, lambda: setattr(fleet.population, "extra_rate", fleet.population.extra_rate - trouble.size)
     )
 
 
-def _relay_kill(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    for number in _relays(fleet, trouble, draw):
+def _relay_kill(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    for number in _affected_relays(fleet, trouble, rng):
         fleet.host.kill(number)
 
 
-def _in_steps(fleet: Fleet, numbers: list[int], lasts: int, call: Callable[[int], None]) -> None:
-    for place, number in enumerate(numbers):
-        fleet.kernel.after(lasts * place // max(1, len(numbers)), lambda n=number: call(n))  # type: ignore[misc]
+def _in_steps(fleet: Fleet, numbers: list[int], duration: int, call: Callable[[int], None]) -> None:
+    for step, number in enumerate(numbers):
+        fleet.kernel.after(duration * step // max(1, len(numbers)), lambda n=number: call(n))  # type: ignore[misc]
 
 
-def _relay_restart(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    _in_steps(fleet, _relays(fleet, trouble, draw), lasts, fleet.host.restart)
+def _relay_restart(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    _in_steps(fleet, _affected_relays(fleet, trouble, rng), duration, fleet.host.restart)
 
 
-def _upgrade(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    _in_steps(fleet, _relays(fleet, trouble, draw), lasts, fleet.host.upgrade)
+def _upgrade(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    _in_steps(fleet, _affected_relays(fleet, trouble, rng), duration, fleet.host.upgrade)
 
 
-def _reload(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    _in_steps(fleet, _relays(fleet, trouble, draw), lasts, fleet.host.reload)
+def _reload(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    _in_steps(fleet, _affected_relays(fleet, trouble, rng), duration, fleet.host.reload)
 
 
-def _slow(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    for server in _some(fleet, trouble, draw):
+def _slow(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    for server in _affected_servers(fleet, trouble, rng):
         server.scale_machine(1 / trouble.size)
-        fleet.kernel.after(lasts, lambda server=server: server.scale_machine(trouble.size))  # type: ignore[misc]
+        fleet.kernel.after(duration, lambda server=server: server.scale_machine(trouble.size))  # type: ignore[misc]
 
 
-def _neighbour(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    """Have another program take ``size`` of some machines, on for a period and off for the next."""
-    end = fleet.kernel.now + lasts
+def _neighbour(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    """Take ``size`` of the affected machines for another program, on and off in alternating periods."""
+    end = fleet.kernel.now + duration
 
-    def turn(server: TileServer, on: bool) -> None:
+    def switch(server: TileServer, on: bool) -> None:
         if on or fleet.kernel.now < end:
             server.scale_machine(1 / (1 - trouble.size) if on else 1 - trouble.size)
-            fleet.kernel.after(int(_drawn(draw, trouble.period)), lambda: turn(server, not on))
+            fleet.kernel.after(int(_sample(rng, trouble.period)), lambda: switch(server, not on))
 
-    for server in _some(fleet, trouble, draw):
-        fleet.kernel.after(int(draw.random() * trouble.period.low), lambda server=server: turn(server, False))  # type: ignore[misc]
+    for server in _affected_servers(fleet, trouble, rng):
+        fleet.kernel.after(int(rng.random() * trouble.period.low), lambda server=server: switch(server, False))  # type: ignore[misc]
 
 
-def _report_late(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
-    late = int(trouble.size * SECOND)
+def _report_late(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
+    delay = int(trouble.size * SECOND)
     for server in list(fleet.servers.values()):
-        server.delay_reports(late)
-        fleet.kernel.after(lasts, lambda server=server: server.delay_reports(-late))  # type: ignore[misc]
+        server.delay_reports(delay)
+        fleet.kernel.after(duration, lambda server=server: server.delay_reports(-delay))  # type: ignore[misc]
 
 
-def _discovery_down(fleet: Fleet, trouble: Trouble, draw: np.random.Generator, lasts: int) -> None:
+def _discovery_down(fleet: Fleet, trouble: Trouble, rng: np.random.Generator, duration: int) -> None:
     fleet.directory.set_down(True)
-    fleet.kernel.after(lasts, lambda: fleet.directory.set_down(False))
+    fleet.kernel.after(duration, lambda: fleet.directory.set_down(False))
 
 
-def _drawn(draw: np.random.Generator, ends: tuple[float, float]) -> float:
-    low, high = ends
-    return float(low if low == high else draw.uniform(low, high))
+def _sample(rng: np.random.Generator, bounds: tuple[float, float]) -> float:
+    low, high = bounds
+    return float(low if low == high else rng.uniform(low, high))
 
 
-PLANS: dict[str, Plan] = {
+TROUBLE_STARTERS: dict[str, TroubleStarter] = {
     "hang": _hang,
     "pauses": _pauses,
     "errors": _errors,
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -23,7 +23,7 @@
 from scaledeal.lab.truth import BrokenRuleError, Service, Violation
 from scaledeal.lab.world.fleet import SECOND, Fleet
 from scaledeal.lab.world.server import TileServer
-from scaledeal.lab.world.troubles import begin
+from scaledeal.lab.world.troubles import schedule_troubles
 from scaledeal.net.request_guard import RequestGuard
 from scaledeal.policy import Balancer
 
@@ -352,7 +352,7 @@
 
 def test_a_neighbour_takes_its_share_on_and_off_and_gives_all_of_it_back():
     fleet = Fleet(day(troubles=("neighbour",), seconds=8), 1)
-    begin(fleet)
+    schedule_troubles(fleet)
     seen: list[float] = []
     for at in range(0, 8 * SECOND, SECOND // 10):
         fleet.kernel.run(at)
