--- a/tests/lab_broken.py
+++ b/tests/lab_broken.py
@@ -1,4 +1,4 @@
-"""Decision modules that are broken on purpose, as sources: each checker of the laboratory must bark at one of them."""
+"""Sources of decision modules with a deliberate fault each, to test that the rule checker detects it."""
 
 HEAD = """
 from scaledeal import interface as api
@@ -13,7 +13,7 @@
 class Balancer(Sound):
     def _again(self, flight):
         if flight.attempts[-1].result is api.Result.RESET:
-            self._drop(flight)  # forgotten: nobody answers its client
+            self._drop(flight)  # the request is forgotten, and its client gets no answer
         else:
             super()._again(flight)
 """
@@ -27,7 +27,7 @@
         super()._membership(event)
         if event.kind is api.MembershipKind.FULL:
             for server in self.servers.values():
-                server.started = 0  # a list read again: all seem warm
+                server.started = 0  # after a full list, every server counts as warm
 """
 )
 
@@ -94,13 +94,13 @@
 """
 )
 
-ALONE = (
+IGNORES_SIBLINGS = (
     HEAD
     + """
 from dataclasses import replace
 
 class Balancer(Sound):
     def __init__(self, settings, seed):
-        super().__init__(replace(settings, siblings=1), seed)  # takes a cold server's whole budget for itself
+        super().__init__(replace(settings, siblings=1), seed)  # uses the whole arrival budget of a cold server
 """
 )
--- a/tests/lab_small.py
+++ b/tests/lab_small.py
@@ -1,4 +1,4 @@
-"""Small days for the tests of the laboratory, as the HCL that a user would write."""
+"""Small scenarios for the tests of the laboratory, written as HCL."""
 
 from __future__ import annotations
 
@@ -70,29 +70,36 @@
   period = "200ms"
 }}
 """
-CALM = """network {
+NO_LATENCY = """network {
   same = "0s"
   cross = "0s"
   client = "0s"
   jitter = 0
 }
 """
-HARSH = """store {
+SLOW_STORE = """store {
   headroom = 2
 }
 """
 
 
-def text(troubles: tuple[str, ...] = (), seconds: int = 6, calm: bool = False, harsh: bool = False) -> str:
-    """Return the HCL of a small day."""
+def text(troubles: tuple[str, ...] = (), seconds: int = 6, no_latency: bool = False, overload: bool = False) -> str:
+    """Return the HCL of a small day with troubles that start 0.9 s apart.
+
+    ``no_latency``: messages take no time; ``overload``: high load and a slow store.
+    """
     blocks = [
         f'trouble "{kind}" {{\n  at = "{at}ms"\n  {TROUBLES[kind]}\n}}\n'
         for kind, at in zip(troubles, range(1000, 9000, 900), strict=False)
     ]
-    parts = [SMALL.format(seconds=seconds, load=0.9 if harsh else 0.4), CALM if calm else "", HARSH if harsh else ""]
+    parts = [
+        SMALL.format(seconds=seconds, load=0.9 if overload else 0.4),
+        NO_LATENCY if no_latency else "",
+        SLOW_STORE if overload else "",
+    ]
     return "".join(parts + blocks)
 
 
-def day(troubles: tuple[str, ...] = (), seconds: int = 6, calm: bool = False, harsh: bool = False) -> Scenario:
-    """Return a small day."""
-    return load_text(text(troubles, seconds, calm, harsh))
+def day(troubles: tuple[str, ...] = (), seconds: int = 6, no_latency: bool = False, overload: bool = False) -> Scenario:
+    """Return a small day as a scenario; the parameters are those of ``text``."""
+    return load_text(text(troubles, seconds, no_latency, overload))
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -232,7 +232,7 @@
 
 
 def test_a_found_case_is_shrunk_to_what_it_takes():
-    case = Case(day(("hang", "crowd", "slow_store", "reload"), harsh=True), 1, rule="one attempt")
+    case = Case(day(("hang", "crowd", "slow_store", "reload"), overload=True), 1, rule="one attempt")
     factory = factory_of(lab_broken.TWO_AT_ONCE)
     assert failure_of(case, factory) == "one attempt"
     small = shrink(case, lambda tried: failure_of(tried, factory), 120)
