--- a/scaledeal/lab/kernel/clock.py
+++ b/scaledeal/lab/kernel/clock.py
@@ -44,16 +44,16 @@
         self.now = 0
         self.executed = 0  # calls
         self._heap: list[tuple[int, float, int, ScheduledCall]] = []
-        self._scheduled = 0
+        self._sequence = 0
         self._ties = ties
         self._stopped = False
 
     def at(self, time: int, call: Callable[[], object]) -> ScheduledCall:
         """Schedule a call; a time in the past means now, after the calls already scheduled for now."""
         scheduled = ScheduledCall(max(self.now, time), call)
-        self._scheduled += 1
+        self._sequence += 1
         tie = float(self._ties.random()) if self._ties is not None else 0.0
-        heapq.heappush(self._heap, (scheduled.at, tie, self._scheduled, scheduled))
+        heapq.heappush(self._heap, (scheduled.at, tie, self._sequence, scheduled))
         return scheduled
 
     def after(self, delay: int, call: Callable[[], object]) -> ScheduledCall:
--- a/scaledeal/lab/scenario/types.py
+++ b/scaledeal/lab/scenario/types.py
@@ -94,7 +94,7 @@
     load: Span = span(1.0)  # load of a connection, relative to the mean
     life: Span = span(1.0)  # lifetime of a connection, relative to ``clients.life``
     spread: NonNegative = 1.0  # sigma of the lognormal distribution of loads
-    swing: NonNegative = 0.5  # sigma of the changes of a connection's load over time
+    swing: NonNegative = 0.5  # sigma of the random changes of a connection's load
     change: Times = durations_ms(6000, 18_000)  # interval between load changes of a connection
 
 
@@ -140,9 +140,8 @@
 class Discovery(Block, frozen=True):
     """The discovery service and its list of processes."""
 
-    mode: Literal["asked", "pushed"] = (
-        "asked"  # asked: one service that handles calls in turn; pushed: an agent on each relay's machine
-    )
+    # asked: one service that handles calls in turn; pushed: an agent on each relay's machine.
+    mode: Literal["asked", "pushed"] = "asked"
     notice: Times = durations_ms(540, 4900)  # delay until it learns that a process drains or has exited
     silent: Times = durations_ms(4000, 12_000)  # the same for a machine that vanished
     add: Times = durations_ms(720, 2400)  # delay until it learns of a new process
@@ -234,10 +233,10 @@
     name: Kind
     at: Times  # start, from the beginning of the day
     lasts: Times = durations_ms(0)
-    part: Span = span(1.0)  # share of the affected servers, relays or connections
+    part: Span = span(1.0)  # share of the servers, relays or connections that it affects
     size: NonNegative = 0.0  # severity, in a unit that depends on the kind: see the page on scenarios
     period: Times = durations_ms(2300)  # interval of recurring events
-    zone: Count | None = None  # index of the affected zone; none: drawn at random
+    zone: Count | None = None  # affected zone, by index; none: drawn for zone_lost and zone_cut, else all zones
     one_way: bool = False  # zone_cut: only traffic towards the zone is lost
 
 
--- a/scaledeal/lab/truth/rule_checker.py
+++ b/scaledeal/lab/truth/rule_checker.py
@@ -163,11 +163,11 @@
         if server_holds:
             self._report("cut", id, now, "closed without MOVE while its server holds it")
 
-    def line_received(self, id: str, now: int, held_back: int, whole: bool) -> None:
+    def line_received(self, id: str, now: int, held_back: int, intact: bool) -> None:
         """Record that a line arrived, the ns it was held back, and whether it is in sequence and unaltered."""
         if held_back > self.rules.line + self.rules.slack:
             self._report("lines", id, now, f"a line was held back for {held_back / 1e6:.0f} ms")
-        if not whole:
+        if not intact:
             self._report("lines", id, now, "a line was lost, repeated or altered")
 
     # Servers
