--- a/scaledeal/lab/scenarios/padova.hcl
+++ b/scaledeal/lab/scenarios/padova.hcl
@@ -1,4 +1,4 @@
-# The first deployment: 14 tile servers, 3 relays, three buildings. Base of most other scenarios.
+# The first deployment as it is today: 14 tile servers, 3 relays, three buildings. Base of most other scenarios.
 title   = "padova"
 seconds = "50s"
 zones   = ["palazzo-nord", "sede-centro", "deposito-sud"]
