--- a/scaledeal/lab/scenarios/lagos.hcl
+++ b/scaledeal/lab/scenarios/lagos.hcl
@@ -1,4 +1,4 @@
-# The second deployment as it is today: 9 gallery nodes, 3 relays, two data centres, two classes of very different worth.
+# The second deployment today: 9 gallery nodes, 3 relays, two data centres, two classes of very different worth.
 title   = "lagos"
 seconds = "50s"
 zones   = ["ikeja", "idu"]
