--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -14,14 +14,14 @@
 import msgspec
 
 from scaledeal import interface as api
-from scaledeal.lab.kernel import Moment
+from scaledeal.lab.kernel import ScheduledCall
 from scaledeal.lab.truth import BrokenRuleError
-from scaledeal.lab.world.before import stood
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer
-from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
-from scaledeal.lab.world.server import Held, TileServer
-from scaledeal.lab.world.told import document
+from scaledeal.lab.world.fleet import EPOCH_MS, Fleet, RelayBackend
+from scaledeal.lab.world.placement import place_initial_connections
+from scaledeal.lab.world.relay_settings import settings_document
+from scaledeal.lab.world.server import ServerConnection, TileServer
 from scaledeal.policy import Balancer
 from scaledeal.settings import Document
 
@@ -56,9 +56,9 @@
         self.host, self.flight, self.server, self.number = relay, flight, server, number
         self.relay = relay.door.name
         self.began = relay.fleet.kernel.now
-        self.held: Held | None = None
+        self.held: ServerConnection | None = None
         self.over = False
-        self.timer: Moment | None = None
+        self.timer: ScheduledCall | None = None
 
     # The seat
 
@@ -124,7 +124,7 @@
             self.timer.cancel()
         if (held := self.held) is not None:
             # For the rule of one attempt it is over when the relay has closed it: the server's hearing lags.
-            self.host.fleet.witness.ended(held.id, self.server.name, self.host.fleet.kernel.now)
+            self.host.fleet.checker.attempt_closed(held.id, self.server.name, self.host.fleet.kernel.now)
             self.host.fleet.kernel.after(self.host.way(self.server), lambda: self.server.leave(held))
 
     def _arrives(self) -> None:
@@ -134,9 +134,9 @@
         if not self.server.alive:
             self._later(lambda: self.ends(api.Result.CONNECT_FAILED))
             return
-        self.held = fleet.crowd.held(self.flight.client, self)
+        self.held = fleet.population.server_connection(self.flight.client, self)
         self.held.id = self.flight.id
-        fleet.witness.arrived(self.flight.id, self.server.name, fleet.kernel.now)
+        fleet.checker.attempt_arrived(self.flight.id, self.server.name, fleet.kernel.now)
         self.server.arrive(self.held)
 
     def _up(self) -> None:
@@ -167,7 +167,7 @@
 class ModuleRelay:
     """One relay: a balancer, its requests, its view of the list, and its core."""
 
-    def __init__(self, host: ModuleHost, door: Door, start: int) -> None:
+    def __init__(self, host: ModuleHost, door: RelayBackend, start: int) -> None:
         self.host, self.fleet, self.door = host, host.fleet, door
         day = self.fleet.day
         self.draw = self.fleet.streams.of("relay", door.name, start)
@@ -216,7 +216,7 @@
         except BrokenRuleError:
             raise
         except Exception as error:  # the module's failure is its relay's crash: told as that, the world goes on
-            self.fleet.witness.crashed(self.door.name, now, f"{type(error).__name__}: {error}")
+            self.fleet.checker.relay_crashed(self.door.name, now, f"{type(error).__name__}: {error}")
             self.host.kill(self.door.number)
             return
         self._busy_until = now + self._cost * (1 + len(actions))
@@ -228,10 +228,10 @@
         """Take a client's first line."""
         fleet, now = self.fleet, self.fleet.kernel.now
         self._numbered += 1
-        flight = Flight(f"r{self._numbered}", client, client.id, client.asked_at + client.kind.deadline)
+        flight = Flight(f"r{self._numbered}", client, client.id, client.requested_at + client.class_settings.deadline)
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
-        fleet.witness.asked(client.id, self.door.name, now, flight.deadline)
+        fleet.checker.request_written(client.id, self.door.name, now, flight.deadline)
         self.post(
             api.Request(
                 flight.name,
@@ -240,7 +240,7 @@
                 client.key,
                 client.group,
                 client.tenant,
-                returning=client.stood,
+                returning=client.was_connected,
             )
         )
 
@@ -252,12 +252,12 @@
         flight.attempt = Attempt(self, flight, server, 0)
         self.flights[flight.name] = flight
         self.host.here[client.number] = (self, flight)
-        self.fleet.witness.standing(client.id, self.door.name, server.name, self.fleet.kernel.now)
-        held = flight.attempt.held = self.fleet.crowd.held(client, flight.attempt)
+        self.fleet.checker.initial_connection(client.id, self.door.name, server.name, self.fleet.kernel.now)
+        held = flight.attempt.held = self.fleet.population.server_connection(client, flight.attempt)
         self.post(api.OpenConnection(flight.name, client.cls, server.name, client.key, client.group, client.tenant))
-        server.stands_already(held)
-        client.up = client.stood = True
-        client.finish_at_end()
+        server.add_established(held)
+        client.connected = client.was_connected = True
+        client.schedule_finish()
 
     def client_left(self, flight: Flight) -> None:
         """Hear that a client left."""
@@ -278,7 +278,7 @@
             return
         flight.stands = True
         self.post(api.Established(flight.name, attempt.number, attempt.server.name, now - attempt.began))
-        self._to_client(flight, lambda client: client.is_up())
+        self._to_client(flight, lambda client: client.on_connected())
 
     def attempt_over(self, attempt: Attempt, result: api.Result) -> None:
         """Hear how an attempt, or a connection that stood, ended."""
@@ -291,7 +291,7 @@
                 api.Result.CANCELLED: lambda client: self._counted(client, "sent_away"),
                 api.Result.OK: lambda _: None,
             }
-            self._to_client(flight, how.get(result, lambda client: client.broken()))
+            self._to_client(flight, how.get(result, lambda client: client.on_broken()))
         if not stood and result is not api.Result.OK:
             self.fleet.service.count("wasted", self.fleet.kernel.now)
         took = self.fleet.kernel.now - attempt.began
@@ -301,7 +301,7 @@
 
     def _counted(self, client: Client, what: str) -> None:
         self.fleet.service.count(what, self.fleet.kernel.now)
-        client.moved()
+        client.on_moved()
 
     # Actions
 
@@ -316,22 +316,22 @@
             self.post(api.Outcome(flight.name, flight.number, action.server, api.Result.NOT_SENT, 0, flight.answered))
             return
         if flight.attempt is not None and not flight.attempt.over:
-            self.fleet.witness.arrived(flight.id, action.server, now)  # two at once: told as what it is
+            self.fleet.checker.attempt_arrived(flight.id, action.server, now)  # two at once: told as what it is
         server = self.fleet.servers[action.server]
         if flight.number == 0:
-            self.fleet.service.took(self.fleet.service.first_try, now - flight.client.asked_at)
+            self.fleet.service.record_duration(self.fleet.service.first_attempt_ms, now - flight.client.requested_at)
         self.fleet.service.count("attempts", now)
         if server.zone != self.door.zone:
             self.fleet.service.count("far", now)
-        self.fleet.witness.sent(flight.id, server.name, self.door.name, now)
+        self.fleet.checker.attempt_sent(flight.id, server.name, self.door.name, now)
         flight.attempt = Attempt(self, flight, server, flight.number)
         flight.attempt.begin(min(action.timeout or left, left))
 
     def _refuse(self, action: api.Refuse) -> None:
-        self._answer(action.request, lambda client: client.refused(action.retry_after))
+        self._answer(action.request, lambda client: client.on_refused(action.retry_after))
 
     def _fail(self, action: api.Fail) -> None:
-        self._answer(action.request, lambda client: client.failed())
+        self._answer(action.request, lambda client: client.on_failed())
 
     def _answer(self, name: str, tell: Callable[[Client], None]) -> None:
         flight = self.flights.get(name)
@@ -357,7 +357,7 @@
             return
         flight.answered = True
         self.fleet.service.count("moves", self.fleet.kernel.now)
-        self._to_client(flight, lambda client: client.moved())
+        self._to_client(flight, lambda client: client.on_moved())
         flight.attempt.ends(api.Result.CANCELLED)
 
     def _probe(self, action: api.Probe) -> None:
@@ -407,15 +407,15 @@
             self.watching = False
             self.post(api.Membership(api.MembershipKind.LOST))
             return
-        now, witness = self.fleet.kernel.now, self.fleet.witness
+        now, witness = self.fleet.kernel.now, self.fleet.checker
         self.fleet.service.count("lines", now, len(answer.entries))
         for entry in answer.entries:
-            witness.told(self.door.name, entry.name, entry.status, entry.since_ms > 0, now)
+            witness.discovery_entry_received(self.door.name, entry.name, entry.status, entry.since_ms > 0, now)
         if answer.snapshot:
             named = {entry.name for entry in answer.entries}
             for name in self.fleet.servers:
                 if name not in named:
-                    witness.told(self.door.name, name, "left", False, now)
+                    witness.discovery_entry_received(self.door.name, name, "left", False, now)
         self.index = answer.index
         self._call()
         self.post(membership(self.fleet, answer))
@@ -430,7 +430,7 @@
                 flight.attempt.give_up()
             if not flight.answered:
                 flight.answered = True
-                self._to_client(flight, lambda client: client.broken(True))
+                self._to_client(flight, lambda client: client.on_broken(True))
         self.flights.clear()
 
     def drains(self) -> None:
@@ -460,7 +460,7 @@
         self.host.here.pop(client.number, None) if flight.answered else None
         self.fleet.kernel.after(
             self.fleet.paths.client_time(self.draw),
-            lambda: tell(client) if client.id == flight.id and not client.over else None,
+            lambda: tell(client) if client.id == flight.id and not client.finished else None,
         )
 
     def _forget(self, flight: Flight) -> None:
@@ -474,8 +474,8 @@
         self.fleet, self.factory = fleet, factory
         self.here: dict[int, tuple[ModuleRelay, Flight]] = {}  # where each client is, by its number
         self.starts = 0
-        self.relays = [self._start(door) for door in fleet.doors]
-        fleet.play(self)
+        self.relays = [self._start(door) for door in fleet.backends]
+        fleet.attach(self)
         self._stand()
 
     def run(self) -> None:
@@ -484,14 +484,14 @@
         longest = max(each.deadline for each in fleet.day.classes)
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
-            server.touch()
-        for client in list(fleet.crowd.here.values()):
+            server.update()
+        for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
         fleet.kernel.run(fleet.day.seconds + longest + fleet.day.rules.slack + SECOND)
         for relay in self.relays:
             if relay.alive:
                 waiting = sum(not flight.stands and not flight.answered for flight in relay.flights.values())
-                fleet.witness.owns(relay.door.name, "requests", waiting, fleet.kernel.now)
+                fleet.checker.resources_left(relay.door.name, "requests", waiting, fleet.kernel.now)
 
     # Clients
 
@@ -501,15 +501,15 @@
         if door is None:
             return False
         relay = self.relays[door.number]
-        way = self.fleet.paths.client_time(client.draw)
+        way = self.fleet.paths.client_time(client.rng)
         id = client.id
 
         def comes() -> None:
-            if client.id == id and client.asking:
+            if client.id == id and client.pending:
                 if relay.alive and relay.serving and self.relays[door.number] is relay:
                     relay.take(client)
                 else:
-                    client.turned_off()
+                    client.on_connect_failed()
 
         self.fleet.kernel.after(way, comes)
         return True
@@ -519,7 +519,7 @@
         if (where := self.here.pop(client.number, None)) is not None:
             relay, flight = where
             if flight.id == client.id and relay.alive:
-                self.fleet.kernel.after(self.fleet.paths.client_time(client.draw), lambda: relay.client_left(flight))
+                self.fleet.kernel.after(self.fleet.paths.client_time(client.rng), lambda: relay.client_left(flight))
 
     # Relays
 
@@ -528,7 +528,7 @@
         relay = self.relays[number]
         if not relay.alive:
             return
-        self.fleet.witness.relay_died(relay.door.name, self.fleet.kernel.now)
+        self.fleet.checker.relay_died(relay.door.name, self.fleet.kernel.now)
         relay.dies()
         low, high = self.fleet.day.relays.notice
         self.fleet.kernel.after(int(relay.draw.uniform(low, high) if low < high else low), lambda: self._notice(relay))
@@ -539,7 +539,7 @@
         relay = self.relays[number]
         if not relay.alive:
             return
-        relay.door.open = False
+        relay.door.in_rotation = False
         self.fleet.kernel.after(300 * MS, lambda: setattr(relay, "serving", False))
         relay.drains()
         self.fleet.kernel.after(STOP + PACE + 700 * MS, lambda: self.kill(number) if relay.alive else None)
@@ -586,7 +586,7 @@
 
     def _notice(self, relay: ModuleRelay) -> None:
         if self.relays[relay.door.number] is relay:
-            relay.door.open = False
+            relay.door.in_rotation = False
 
     def _start_later(self, number: int) -> None:
         low, high = self.fleet.day.relays.start
@@ -595,18 +595,20 @@
 
         def start() -> None:
             self.relays[number] = self._start(relay.door)
-            relay.door.open = True
+            relay.door.in_rotation = True
 
         self.fleet.kernel.after(wait, start)
 
-    def _start(self, door: Door) -> ModuleRelay:
+    def _start(self, door: RelayBackend) -> ModuleRelay:
         self.starts += 1
         relay = ModuleRelay(self, door, self.starts)
         directory = self.fleet.directory
         known = tuple(entry for entry in directory.entries.values() if entry.status != "left")
         relay.index = directory.index
         for entry in known:
-            self.fleet.witness.told(door.name, entry.name, entry.status, entry.since_ms > 0, self.fleet.kernel.now)
+            self.fleet.checker.discovery_entry_received(
+                door.name, entry.name, entry.status, entry.since_ms > 0, self.fleet.kernel.now
+            )
         event = membership(self.fleet, Answer(directory.index, True, known))
         relay.post(initial(event))
         if directory.pushed:
@@ -615,17 +617,19 @@
 
     def _stand(self) -> None:
         """Have the clients of before the run stand."""
-        clients = self.fleet.crowd.begin()
-        places = stood(clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.crowd.mean_load)
+        clients = self.fleet.population.start()
+        places = place_initial_connections(
+            clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.population.mean_load
+        )
         for client in clients:
             door = self.fleet.front.pick(client.zone)
             if door is not None and client.number in places:
                 self.relays[door.number].stands(client, places[client.number])
 
 
-def told_to(fleet: Fleet, door: Door) -> Document:
+def told_to(fleet: Fleet, door: RelayBackend) -> Document:
     """Return the settings of one relay as the platform would tell them."""
-    told = document(fleet.day, door.number, door.zone, fleet.crowd.quotas)
+    told = settings_document(fleet.day, door.number, door.zone, fleet.population.quotas)
     return msgspec.convert(told, Document, strict=False)
 
 
@@ -641,7 +645,7 @@
         api.ServerEntry(
             each.name,
             _STATES[each.status],
-            int((each.since_ms - EPOCH) * MS) if each.since_ms else 0,
+            int((each.since_ms - EPOCH_MS) * MS) if each.since_ms else 0,
             zones[each.zone],
             each.weight,
             each.group,
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -17,9 +17,9 @@
 from scaledeal.lab.hosts.relay.peers import STOOD, BadEnd, ClientEnd, DirectoryListener, TileListener
 from scaledeal.lab.hosts.relay.reactor import OWN, Process, SimReactor
 from scaledeal.lab.hosts.relay.sockets import End, Machine, Net
-from scaledeal.lab.world.before import stood
 from scaledeal.lab.world.clients import Client
-from scaledeal.lab.world.fleet import EPOCH, Door, Fleet
+from scaledeal.lab.world.fleet import EPOCH_MS, Fleet, RelayBackend
+from scaledeal.lab.world.placement import place_initial_connections
 from scaledeal.lab.world.server import TileServer
 from scaledeal.net.config import Address, Config
 from scaledeal.net.ports import Port, Reactor
@@ -58,7 +58,7 @@
 
     def unix(self) -> int:
         """Return the run's time as Unix time."""
-        return self.fleet.kernel.now + EPOCH * MS
+        return self.fleet.kernel.now + EPOCH_MS * MS
 
     def port(self, clients: bool, port: int, factory: Any, backlog: int, host: str, reactor: Reactor) -> Port:
         """Return a simulated listening socket."""
@@ -70,7 +70,7 @@
 class Running:
     """One start of one relay."""
 
-    def __init__(self, host: RelayHost, door: Door, start: int) -> None:
+    def __init__(self, host: RelayHost, door: RelayBackend, start: int) -> None:
         self.host, self.door, self.start = host, door, start
         fleet = host.fleet
         self.draw = fleet.streams.of("relay", door.name, start)
@@ -94,7 +94,7 @@
     def crashed(self, why: BaseException) -> None:
         """Hear that the program failed."""
         fleet = self.host.fleet
-        fleet.witness.crashed(self.door.name, fleet.kernel.now, f"{type(why).__name__}: {why}")
+        fleet.checker.relay_crashed(self.door.name, fleet.kernel.now, f"{type(why).__name__}: {why}")
         self.host.kill(self.door.number)
 
     def exits(self) -> None:
@@ -129,7 +129,7 @@
         self.net = Net(fleet.kernel, fleet.paths, fleet.day.network.segment)
         self.clients: dict[str, Client] = {}  # by the id of their present connection
         self.ends: dict[str, ClientEnd] = {}
-        self.machines = [self._machine(self.address(door)[0], door.name, door.zone) for door in fleet.doors]
+        self.machines = [self._machine(self.address(door)[0], door.name, door.zone) for door in fleet.backends]
         self._crowd = self._machine("10.9.0.1", "clients", 0, True)
         self.servers: dict[str, Machine] = {}
         self.sent_away: set[str] = set()  # ids of connections that a draining server ended politely
@@ -138,9 +138,9 @@
         DirectoryListener(self, self.net, self._machine(DISCOVERY[0], "discovery", 0), DISCOVERY)
         for server in fleet.servers.values():
             self._serve(server)
-        fleet.on_start = self._serve
-        self.running = [self._start(door) for door in fleet.doors]
-        fleet.play(self)
+        fleet.on_server_start = self._serve
+        self.running = [self._start(door) for door in fleet.backends]
+        fleet.attach(self)
         self._stand()
         if fleet.day.clients.bad:
             self._bad_draw = fleet.streams.of("bad clients")
@@ -151,12 +151,12 @@
         fleet = self.fleet
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
-            server.touch()
-        for client in list(fleet.crowd.here.values()):
+            server.update()
+        for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
         longest = max(each.deadline for each in fleet.day.classes)
         fleet.kernel.run(fleet.day.seconds + longest + fleet.day.rules.slack + SECOND)
-        for client in list(fleet.crowd.here.values()):
+        for client in list(fleet.population.clients.values()):
             client._finish()
         # Probe connections are kept until they were idle for as long as the settings say, and closed by then.
         fleet.kernel.run(fleet.kernel.now + int(fleet.day.network.idle) + 7 * SECOND)
@@ -179,35 +179,37 @@
         if (end := self.ends.get(client.id)) is not None:
             end.leaves()
 
-    def _come(self, client: Client, door: Door, at: str) -> None:
+    def _come(self, client: Client, door: RelayBackend, at: str) -> None:
         id = client.id
         self.clients[id] = client
 
         def up(end: End) -> None:
-            if client.id != id or client.over or not (client.asking or at):
+            if client.id != id or client.finished or not (client.pending or at):
                 end.abort()
                 return
             fleet = self.fleet
             now = fleet.kernel.now
-            fleet.witness.asked(id, door.name, now, now + (STOOD if at else client.kind.deadline))
+            fleet.checker.request_written(id, door.name, now, now + (STOOD if at else client.class_settings.deadline))
             self.ends[id] = ClientEnd(self, client, door, end, at)
 
         def failed() -> None:
-            if client.id == id and not client.over:
-                client.turned_off()
+            if client.id == id and not client.finished:
+                client.on_connect_failed()
 
         self.net.dial(self._crowd, "10.9.0.1", self.address(door), up, failed)
 
     def _stand(self) -> None:
         """Have the clients of before the run come with the names of their servers, as the platform does."""
         draw = self.fleet.streams.of("standing")
-        clients = self.fleet.crowd.begin()
-        places = stood(clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.crowd.mean_load)
+        clients = self.fleet.population.start()
+        places = place_initial_connections(
+            clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.population.mean_load
+        )
         for client in clients:
             door = self.fleet.front.pick(client.zone)
             if door is None or client.number not in places:
                 continue
-            client.id, client.asking = f"c{client.number}.0", True
+            client.id, client.pending = f"c{client.number}.0", True
             self.fleet.kernel.after(
                 int(draw.random() * 100 * MS) + 20 * MS,
                 lambda c=client, d=door, s=places[client.number].name: self._come(c, d, s),  # type: ignore[misc]
@@ -236,23 +238,23 @@
 
     def zone_of(self, relay: str) -> int:
         """Return a relay's zone."""
-        return next((door.zone for door in self.fleet.doors if door.name == relay), -1)
+        return next((door.zone for door in self.fleet.backends if door.name == relay), -1)
 
     def held_at(self, id: str) -> bool:
         """Tell whether a server that answers holds a connection."""
-        case = self.fleet.witness.cases.get(id)
-        server = self.fleet.servers.get(case.out) if case is not None else None
-        return server is not None and id in server.held and not server.stands_still()
+        case = self.fleet.checker.requests.get(id)
+        server = self.fleet.servers.get(case.open_at) if case is not None else None
+        return server is not None and id in server.connections and not server.is_stalled()
 
-    def alive(self, door: Door) -> bool:
+    def alive(self, door: RelayBackend) -> bool:
         """Tell whether a relay's process runs."""
         return self.running[door.number].alive
 
-    def took(self, door: Door) -> bool:
+    def took(self, door: RelayBackend) -> bool:
         """Tell whether a relay was there to take requests."""
         return self.running[door.number].relay is not None
 
-    def address(self, door: Door) -> tuple[str, int]:
+    def address(self, door: RelayBackend) -> tuple[str, int]:
         """Return where a relay listens."""
         return f"10.3.{door.number // 200}.{door.number % 200 + 1}", 9000
 
@@ -263,7 +265,7 @@
         running = self.running[number]
         if not running.alive:
             return
-        self.fleet.witness.relay_died(running.door.name, self.fleet.kernel.now)
+        self.fleet.checker.relay_died(running.door.name, self.fleet.kernel.now)
         running.ends()
         low, high = self.fleet.day.relays.notice
         self.fleet.kernel.after(
@@ -278,7 +280,7 @@
             return
         relay = running.relay
         running.process.do(relay.drain)
-        self.fleet.kernel.after(STOPS, lambda: setattr(running.door, "open", False))
+        self.fleet.kernel.after(STOPS, lambda: setattr(running.door, "in_rotation", False))
         self.fleet.kernel.after(TERM, lambda: self.kill(number) if running.alive else None)
 
     def upgrade(self, number: int) -> None:
@@ -293,7 +295,7 @@
     def exited(self, running: Running) -> None:
         """Hear that a relay ended by itself, as it was told."""
         running.ends()
-        self.fleet.witness.relay_died(running.door.name, self.fleet.kernel.now)
+        self.fleet.checker.relay_died(running.door.name, self.fleet.kernel.now)
         self._start_later(running)
 
     def config(self, running: Running) -> Config:
@@ -306,7 +308,9 @@
             for each in known
         )
         for entry in known:
-            fleet.witness.told(door.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now)
+            fleet.checker.discovery_entry_received(
+                door.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now
+            )
         host, port = self.address(door)
         return Config(
             door.name,
@@ -324,26 +328,26 @@
 
     def _notice(self, running: Running) -> None:
         if self.running[running.door.number] is running:
-            running.door.open = False
+            running.door.in_rotation = False
 
     def _start_later(self, running: Running) -> None:
         low, high = self.fleet.day.relays.start
         wait = int(running.draw.uniform(low, high) if low < high else low)
         self.fleet.kernel.after(wait, lambda: self._again(running.door))
 
-    def _again(self, door: Door) -> None:
+    def _again(self, door: RelayBackend) -> None:
         self.running[door.number] = self._start(door)
         self._admit(door)
 
-    def _admit(self, door: Door) -> None:
+    def _admit(self, door: RelayBackend) -> None:
         """Have the front send clients once the relay says that it serves."""
         running = self.running[door.number]
         if running.serves():
-            door.open = True
+            door.in_rotation = True
         elif running.alive:
             self.fleet.kernel.after(100 * MS, lambda: self._admit(door))
 
-    def _start(self, door: Door) -> Running:
+    def _start(self, door: RelayBackend) -> Running:
         self.starts += 1
         return Running(self, door, self.starts)
 
@@ -374,10 +378,10 @@
         listening = sum(each.machine is running.machine for each in self.net.listeners.values())
         watching = 1  # the watch of the list
         left = running.process.held - OWN - listening - watching
-        fleet.witness.owns(name, "descriptors", max(0, left), fleet.kernel.now)
-        fleet.witness.owns(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
-        fleet.witness.owns(name, "flights", len(relay.driver.balancer.flights), fleet.kernel.now)
-        fleet.witness.owns(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
+        fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
+        fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
+        fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.flights), fleet.kernel.now)
+        fleet.checker.resources_left(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
 
 
 @contextlib.contextmanager
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from scaledeal.lab.hosts.relay.sockets import End, Listener, Machine, Net
-from scaledeal.lab.kernel import Moment
+from scaledeal.lab.kernel import ScheduledCall
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.directory import Answer, Directory
-from scaledeal.lab.world.fleet import Door, Fleet
-from scaledeal.lab.world.server import Held, TileServer
+from scaledeal.lab.world.fleet import Fleet, RelayBackend
+from scaledeal.lab.world.server import ServerConnection, TileServer
 
 if TYPE_CHECKING:
     from scaledeal.lab.hosts.relay.host import RelayHost
@@ -106,7 +106,7 @@
     def __init__(self, host: RelayHost, server: TileServer, end: End) -> None:
         super().__init__(end)
         self.host, self.server = host, server
-        self.held: Held | None = None
+        self.held: ServerConnection | None = None
         self.relay = host.relay_at(end.remote)
         self.stands = False
         self.todo: deque[bytes] = deque()  # the client's lines that are not answered yet
@@ -123,7 +123,7 @@
             self._opens(found)
         else:
             self.say(b"SYNTAX")
-            self.host.fleet.witness.line("wire", self.host.fleet.kernel.now, 0, False)
+            self.host.fleet.checker.line_received("wire", self.host.fleet.kernel.now, 0, False)
 
     def ended(self, broke: bool) -> None:
         """Hear that the relay ended the connection."""
@@ -185,29 +185,29 @@
         id = found[1].decode()
         client = self.host.clients.get(id)
         if client is None:
-            fleet.witness.arrived(id, self.server.name, fleet.kernel.now)
+            fleet.checker.attempt_arrived(id, self.server.name, fleet.kernel.now)
             self.say(b"SYNTAX")
             return
         standing = b"at=" in found[3]
         way = int(fleet.paths.times[self.host.zone_of(self.relay)][self.server.zone] * (1 + fleet.day.network.jitter))
-        fleet.witness.sent(id, self.server.name, self.relay, fleet.kernel.now - way)  # the moment of its first byte
-        self.held = fleet.crowd.held(client, self)
+        fleet.checker.attempt_sent(id, self.server.name, self.relay, fleet.kernel.now - way)  # at its first byte
+        self.held = fleet.population.server_connection(client, self)
         self.held.id = id
-        fleet.witness.arrived(id, self.server.name, fleet.kernel.now)
+        fleet.checker.attempt_arrived(id, self.server.name, fleet.kernel.now)
         if not standing:
             fleet.service.count("attempts", fleet.kernel.now)
             if self.server.zone != self.host.zone_of(self.relay):
                 fleet.service.count("far", fleet.kernel.now)
         if standing:
             self.up()
-            self.server.stands_already(self.held)
+            self.server.add_established(self.held)
         else:
             self.server.arrive(self.held)
 
     def _given_up(self) -> None:
         """See the relay close its end: for the rule of one attempt that moment counts, not when its server hears."""
         if self.held is not None:
-            self.host.fleet.witness.ended(self.held.id, self.server.name, self.host.fleet.kernel.now)
+            self.host.fleet.checker.attempt_closed(self.held.id, self.server.name, self.host.fleet.kernel.now)
 
     def _message(self, line: bytes) -> None:
         self.todo.append(line)
@@ -219,10 +219,10 @@
         held = self.held
         if held is None or held.silent or self.over:
             return
-        if self.server.stands_still():
+        if self.server.is_stalled():
             self.host.fleet.kernel.after(LOOK, self._answer_soon)
             return
-        wait = int(self.server.piled * SECOND)
+        wait = int(self.server.backlog_s * SECOND)
         self.host.fleet.kernel.after(wait, self._answer_now)
 
     def _answer_now(self) -> None:
@@ -334,12 +334,12 @@
 def told(fleet: Fleet, relay: str, answer: Answer, now: int) -> None:
     """Have the witness see what a relay is told."""
     for entry in answer.entries:
-        fleet.witness.told(relay, entry.name, entry.status, entry.since_ms > 0, now)
+        fleet.checker.discovery_entry_received(relay, entry.name, entry.status, entry.since_ms > 0, now)
     if answer.snapshot:
         named = {entry.name for entry in answer.entries}
         for name in fleet.servers:
             if name not in named:
-                fleet.witness.told(relay, name, "left", False, now)
+                fleet.checker.discovery_entry_received(relay, name, "left", False, now)
 
 
 class DirectoryListener:
@@ -358,18 +358,18 @@
 class ClientEnd(LineEnd):
     """A client's connection to a relay."""
 
-    def __init__(self, host: RelayHost, client: Client, door: Door, end: End, at: str) -> None:
+    def __init__(self, host: RelayHost, client: Client, door: RelayBackend, end: End, at: str) -> None:
         super().__init__(end)
         self.host, self.client, self.door = host, client, door
         self.id = client.id
         self.answered = self.stands = self.moved = False
         self.sent = self.heard = 0
-        self.timer: Moment | None = None
-        kind = client.kind
+        self.timer: ScheduledCall | None = None
+        kind = client.class_settings
         wait = STOOD if at else kind.deadline
         words = f"c={kind.name},d={int(wait // MS)}" + (f",g={client.group}" if client.group else "")
-        words += f",t={client.crowd.day.tenant[client.tenant].name}" if client.crowd.day.tenant else ""
-        words += (",again=1" if client.stood else "") + (f",at={at}" if at else "")
+        words += f",t={client.population.day.tenant[client.tenant].name}" if client.population.day.tenant else ""
+        words += (",again=1" if client.was_connected else "") + (f",at={at}" if at else "")
         self.standing = bool(at)
         self.say(f"OPEN {self.id} {client.key} {words}".encode())
 
@@ -388,21 +388,21 @@
         self._stop()
         self.host.ends.pop(self.id, None)
         client = self.client
-        if client.id != self.id or client.over or self.moved:
+        if client.id != self.id or client.finished or self.moved:
             return
         if self.answered and not self.stands:
             return
         if self.stands:
             holder = self.host.held_at(self.id)
             if not self.host.alive(self.door):
-                client.broken(True)
+                client.on_broken(True)
             else:
-                self.host.fleet.witness.cut(self.id, holder, self.host.fleet.kernel.now)
-                client.broken()
+                self.host.fleet.checker.connection_cut(self.id, holder, self.host.fleet.kernel.now)
+                client.on_broken()
         elif self.host.alive(self.door) and self.host.took(self.door):
-            client.failed()  # closed without a word
+            client.on_failed()  # closed without a word
         else:
-            client.broken(True)
+            client.on_broken(True)
 
     def leaves(self) -> None:
         """End it."""
@@ -416,26 +416,26 @@
         if client.id != self.id:
             return
         if self.standing:
-            self.host.fleet.witness.answered(self.id, self.host.fleet.kernel.now, "UP")
-            client.asking, client.up, client.stood = False, True, True
-            client.finish_at_end()
+            self.host.fleet.checker.answer_received(self.id, self.host.fleet.kernel.now, "UP")
+            client.pending, client.connected, client.was_connected = False, True, True
+            client.schedule_finish()
         else:
-            client.is_up()
+            client.on_connected()
         self._message()
 
     def _answer(self, word: bytes, rest: bytes) -> None:
         if self.client.id != self.id:
             return
         if self.answered:
-            self.host.fleet.witness.answered(self.id, self.host.fleet.kernel.now, word.decode())
+            self.host.fleet.checker.answer_received(self.id, self.host.fleet.kernel.now, word.decode())
             return
         self.answered = True
         if word == b"BUSY":
-            self.client.refused(int(rest or 0) * MS)
+            self.client.on_refused(int(rest or 0) * MS)
         elif self.standing:
-            self.client.broken(True)
+            self.client.on_broken(True)
         else:
-            self.client.failed()
+            self.client.on_failed()
 
     def _passed_on(self, word: bytes, rest: bytes) -> None:
         if word == b"MOVE":
@@ -444,10 +444,10 @@
             by_server = self.id in self.host.sent_away
             self.host.sent_away.discard(self.id)
             self.host.fleet.service.count("sent_away" if by_server else "moves", self.host.fleet.kernel.now)
-            self.client.moved()
+            self.client.on_moved()
         elif word == b"SAME":
             number = int(rest)
-            self.host.fleet.witness.line(self.id, self.host.fleet.kernel.now, 0, number == self.heard + 1)
+            self.host.fleet.checker.line_received(self.id, self.host.fleet.kernel.now, 0, number == self.heard + 1)
             self.heard = number
 
     def _message(self) -> None:
