--- a/scaledeal/cold_start.py
+++ b/scaledeal/cold_start.py
@@ -1,11 +1,12 @@
-"""The budget of cold servers: what all gateways together send one that has lately started. No clock, no I/O.
-
-A cold server falls when it gets more than N + 2 root N + 2 set-ups of mean work from all gateways in any window of
-``Settings.overload_window``, N being ``overload_factor`` times what fills it, warm as it is, over its warm-up (the
-operators' standing test). Gateways share nothing, so each has *slots* of its own at each cold server, spread over time
-by its number: one slot, one set-up. A slot stays open for a while and then lapses. In any window there can be used
-those that open in it or stood open at its start, and of them as many as clients come for: PRUDENCE of N in the mean,
-even if a CROWD of all that stands in the fleet comes again within it. ``docs/fleet.md`` weighs the alternatives.
+"""The budget of cold servers: how many set-ups all relays together may send to a server that has just started.
+
+No clock, no I/O. A cold server is overloaded when it gets more than N + 2 root N + 2 set-ups of mean work from all
+relays in any window of ``Settings.overload_window``. N is ``overload_factor`` times the number of connections that fill
+the server at its current warmth, times the window over the warm-up time (the operators' standing test). Relays share no
+state, so each has its own *slots* at each cold server, spread over time by the relay's number: one slot, one set-up. A
+slot stays open for a while and then lapses. In any window, only slots that open in it or were open at its start can be
+used, and as many of them as clients arrive for: ``TARGET_BUDGET_SHARE`` of N on average, even if ``CROWD_SHARE`` of all
+connections of the fleet return within the window. ``docs/fleet.md`` weighs the alternatives.
 """
 
 from __future__ import annotations
@@ -17,85 +18,108 @@
 from scaledeal.interface import Settings
 
 SECOND = 1_000_000_000
-PRUDENCE = 0.9  # part of the budget that is used in the mean where a crowd comes
-OPEN = 0.4  # windows that a slot stays open
-CROWD = 0.5  # part of all connections that may come again within one window
-GROUPS_PART = 0.5  # part of a server's load that its groups cost, where they have a cost (docs/fleet.md)
-LEAST_LOAD = 0.25  # part of its capacity that each server is taken to hold at the least
-MOST_LOAD = 2.0  # and at the most: what is piled up beyond it is no connections
-KEPT = 8 * SECOND  # how long a fleet's higher load is remembered: its servers may have died, its clients not
-REPORTS = 20  # how many reports the mean capacity is taken over
-TELLING = 0.05  # utilisation under which a report tells nothing of a capacity
-MOST_TOLD = 100.0  # utilisation past which a report is absurd
+TARGET_BUDGET_SHARE = 0.9  # share of the budget that is used on average while a crowd arrives
+SLOT_OPEN_WINDOWS = 0.4  # how long a slot stays open, in overload windows
+CROWD_SHARE = 0.5  # share of all connections that may return within one overload window
+GROUP_LOAD_SHARE = 0.5  # share of a server's load that its groups cause, where groups have a cost (docs/fleet.md)
+MIN_UTILISATION = 0.25  # utilisation that each server is assumed to have at least
+MAX_UTILISATION = 2.0  # and at most: more than that is a backlog, not connections
+LOAD_MEMORY_NS = 8 * SECOND  # how long a past fleet load counts: servers may have died while their clients have not
+CAPACITY_SAMPLES = 20  # number of reports that the mean capacity is taken over
+MIN_INFORMATIVE_UTILISATION = 0.05  # a report under this says nothing about capacity
+MAX_PLAUSIBLE_UTILISATION = 100.0  # a report above this is invalid
 
 
 @dataclass(slots=True)
 class Slots:
-    """One gateway's slots at one cold server: those so far, when that was counted, and until when each is open."""
+    """The slots of one relay at one cold server."""
 
-    count: float = 0.0
-    counted_at: int = 0
-    open: list[int] = field(default_factory=list)
+    count: float = 0.0  # slots opened so far, with the fraction of the next one
+    counted_at: int = 0  # time of that count
+    open_until: list[int] = field(default_factory=list)  # end of each open slot
 
 
 class ColdStart:
-    """What one gateway knows of the budget; a *capacity* is a server's weight times its warmth, time is in ns."""
+    """One relay's estimate of the cold-start budget.
+
+    A *capacity* is a server's weight times its warmth. Times are in nanoseconds.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.window = settings.overload_window or SECOND
-        self.reports, self.held, self.asked = 0, 0.0, 0.0  # mean connections and utilisation that reports told
-        self.load = self.mean = 0.0  # of the fleet, in capacities, as last remembered; over its capacity
-        self.used = 1.0  # part of its slots that a crowd uses: nothing is known yet
+        # Means over the reports of warm servers: connections for weight 1, and utilisation.
+        self.report_count, self.mean_connections, self.mean_utilisation = 0, 0.0, 0.0
+        # The fleet's load as last remembered, in capacities; and that load over the fleet's capacity.
+        self.fleet_load = self.fleet_utilisation = 0.0
+        self.used_share = 1.0  # share of its slots that this relay uses in a crowd; 1 until loads are known
 
     def warmth(self, age: int) -> float:
-        """Return the part of its capacity that a server of this age has at the least."""
-        s, age = self.settings, max(0, age)  # a start that is still to come is no less than cold
+        """Return the share of its capacity that a server of this age has at least."""
+        s, age = self.settings, max(0, age)  # a start that lies in the future counts as age 0
         return s.cold_share + (1 - s.cold_share) * age / s.warm_after if age < s.warm_after else 1.0
 
-    def report(self, weight: float, connections: float, utilisation: float) -> None:
-        """Learn from a warm server's report how many connections fill one."""
-        if utilisation > TELLING and 0 <= connections < math.inf:
-            self.reports = min(self.reports + 1, REPORTS)
-            self.held += (connections / weight - self.held) / self.reports
-            self.asked += (utilisation - self.asked) / self.reports
+    def record_report(self, weight: float, connections: float, utilisation: float) -> None:
+        """Update the estimate of how many connections fill a server from the report of a warm one."""
+        if utilisation > MIN_INFORMATIVE_UTILISATION and 0 <= connections < math.inf:
+            self.report_count = min(self.report_count + 1, CAPACITY_SAMPLES)
+            self.mean_connections += (connections / weight - self.mean_connections) / self.report_count
+            self.mean_utilisation += (utilisation - self.mean_utilisation) / self.report_count
 
-    def learn(self, passed: int, servers: Iterable[tuple[float, float | None]]) -> None:
-        """Learn the fleet's load from each server's capacity and utilisation, some ns after the last time.
+    def update_load(self, elapsed: int, servers: Iterable[tuple[float, float | None]]) -> None:
+        """Update the fleet's load from each server's capacity and utilisation, ``elapsed`` after the last update.
 
-        Guards against a crowd that servers leave behind as they die: their load goes from the sum at once.
+        The load decays over ``LOAD_MEMORY_NS``: a server that dies leaves the sum at once, while the crowd of its
+        clients is still to return.
         """
         listed = list(servers)
-        told = [asked for _, asked in listed if asked is not None]
-        mean = sum(told) / len(told) if told else 1.0
-        load = sum(c * min(MOST_LOAD, max(LEAST_LOAD, mean if u is None else u)) for c, u in listed)
-        self.load = max(load, self.load * max(0.0, 1 - passed / KEPT))
-        self.mean = load / max(1e-9, sum(c for c, _ in listed))
-        crowd = CROWD * max(1.0, self.load * self.held / self.asked) if self.asked else math.inf
-        # Of so many clients, spread by chance over the gateways, this part of the gateways sees one or more.
-        self.used = 1 - math.exp(-crowd / self.settings.siblings)
-
-    def rate(self, capacity: float) -> float:
-        """Return the slots a ns that this gateway has at a cold server; one a window of all is always borne."""
+        reported = [utilisation for _, utilisation in listed if utilisation is not None]
+        mean = sum(reported) / len(reported) if reported else 1.0
+        load = sum(c * min(MAX_UTILISATION, max(MIN_UTILISATION, mean if u is None else u)) for c, u in listed)
+        self.fleet_load = max(load, self.fleet_load * max(0.0, 1 - elapsed / LOAD_MEMORY_NS))
+        self.fleet_utilisation = load / max(1e-9, sum(c for c, _ in listed))
+        crowd = (
+            CROWD_SHARE * max(1.0, self.fleet_load * self.mean_connections / self.mean_utilisation)
+            if self.mean_utilisation
+            else math.inf
+        )
+        # With that many clients spread at random over the relays, this share of the relays gets at least one.
+        self.used_share = 1 - math.exp(-crowd / self.settings.siblings)
+
+    def slot_rate(self, capacity: float) -> float:
+        """Return this relay's slots per nanosecond at a cold server.
+
+        The budget is at least one set-up a window of all relays together, which any server can take.
+        """
         s = self.settings
-        fills = self.held / self.asked / (1 - GROUPS_PART * s.groups) if self.asked else 0.0
-        budget = s.overload_factor * fills * capacity * self.window / s.warm_after
-        return max(1.0, PRUDENCE * budget) / (s.siblings * self.used * (1 + OPEN) * self.window)
-
-    def begin(self, now: int, number: int) -> Slots:
-        """Return the slots at a server with this 64-bit digest: gateways' slots alternate evenly."""
-        return Slots((number / 2**64 + self.settings.me / self.settings.siblings) % 1, now)
-
-    def open(self, now: int, slots: Slots, capacity: float) -> bool:
-        """Tell whether a slot is open now; those of before that nobody came for have lapsed."""
-        span, lasts, rate = now - slots.counted_at, int(OPEN * self.window), self.rate(capacity)
-        before = slots.count + rate * max(0, span - lasts)
-        slots.count, slots.counted_at = before + rate * min(span, lasts), now
+        connections_when_full = (
+            self.mean_connections / self.mean_utilisation / (1 - GROUP_LOAD_SHARE * s.groups)
+            if self.mean_utilisation
+            else 0.0
+        )
+        budget = s.overload_factor * connections_when_full * capacity * self.window / s.warm_after
+        return max(1.0, TARGET_BUDGET_SHARE * budget) / (
+            s.siblings * self.used_share * (1 + SLOT_OPEN_WINDOWS) * self.window
+        )
+
+    def new_slots(self, now: int, server_digest: int) -> Slots:
+        """Return the slots at a server with this 64-bit digest, offset so that the relays' slots alternate evenly."""
+        return Slots((server_digest / 2**64 + self.settings.me / self.settings.siblings) % 1, now)
+
+    def has_open_slot(self, now: int, slots: Slots, capacity: float) -> bool:
+        """Bring the slots up to ``now`` and tell whether one is open; unused earlier ones have lapsed."""
+        span, open_time, rate = (
+            now - slots.counted_at,
+            int(SLOT_OPEN_WINDOWS * self.window),
+            self.slot_rate(capacity),
+        )
+        before = slots.count + rate * max(0, span - open_time)
+        slots.count, slots.counted_at = before + rate * min(span, open_time), now
         opened = range(math.floor(before) + 1, math.floor(slots.count) + 1)
-        slots.open = [until for until in slots.open if until > now]
-        slots.open += [now + lasts - int((slots.count - number) / rate) for number in opened]
-        return bool(slots.open)
+        slots.open_until = [until for until in slots.open_until if until > now]
+        slots.open_until += [now + open_time - int((slots.count - number) / rate) for number in opened]
+        return bool(slots.open_until)
 
-    def wait(self, slots: Slots, capacity: float) -> int:
-        """Return the ns until the next slot opens, counted from when they were last counted."""
-        return int((math.floor(slots.count) + 1 - slots.count) / self.rate(capacity)) + 1
+    def time_to_next_slot(self, slots: Slots, capacity: float) -> int:
+        """Return the nanoseconds until the next slot opens, from the time of the last count."""
+        return int((math.floor(slots.count) + 1 - slots.count) / self.slot_rate(capacity)) + 1
--- a/scaledeal/interface.py
+++ b/scaledeal/interface.py
@@ -1,7 +1,7 @@
-"""The public interface of scaledeal: settings, events and actions.
+"""The public interface of the decision module: settings, events and actions.
 
-All times and durations are integer nanoseconds on the caller's clock. Events are handed to
-``Balancer.handle(now, event)``, which returns the actions to carry out, in order.
+All times and durations are integer nanoseconds on the caller's clock, unless a field states another unit. The caller
+passes each event to ``Balancer.handle(now, event)`` and carries out the returned actions in order.
 """
 
 from __future__ import annotations
@@ -11,7 +11,11 @@
 
 
 class Semantics(Enum):
-    """What a repeat of a request may do."""
+    """What sending a request a second time may do.
+
+    ``REPEATABLE``: no harm. ``KEYED``: the servers of the class's ``scope`` drop a repeat within its ``window``.
+    ``ONCE``: a second effect, so a request that may have run is not sent again.
+    """
 
     REPEATABLE = "repeatable"
     KEYED = "keyed"
@@ -19,7 +23,7 @@
 
 
 class Scope(Enum):
-    """The servers that drop repeats of a keyed request."""
+    """The servers among which repeats of a keyed request are dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,7 +31,7 @@
 
 
 class Source(Enum):
-    """Where load reports come from."""
+    """How load reports arrive: with answers, with probe results, or not at all."""
 
     ANSWERS = "answers"
     PROBES = "probes"
@@ -43,7 +47,11 @@
 
 
 class MembershipKind(Enum):
-    """How a membership event is to be read."""
+    """What a membership event holds.
+
+    ``CHANGES``: changed entries only. ``FULL`` and ``INITIAL``: the whole list. ``LOST``: nothing, as the
+    subscription to changes has ended.
+    """
 
     CHANGES = "changes"
     FULL = "full"
@@ -65,7 +73,7 @@
 
 
 class NoteKind(Enum):
-    """What a note on an open connection tells."""
+    """What a ``Note`` on an open connection reports."""
 
     LOAD = "load"
     DELAY = "delay"
@@ -73,7 +81,7 @@
 
 
 class Field(Enum):
-    """Values that a load report may hold."""
+    """The meaning of one value of a load report."""
 
     UTILISATION = "utilisation"
     BUSY = "busy"
@@ -83,7 +91,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests."""
+    """One class of requests.
+
+    ``aim`` is the target latency of a set-up, ``message_aim`` that of a message (0: none). ``deadline`` is the time
+    to a request's final answer. ``window`` is how long servers recognise a repeat of a keyed request.
+    """
 
     aim: int
     deadline: int
@@ -94,28 +106,32 @@
     message_aim: int = 0
 
     def __post_init__(self) -> None:
-        _positive("aim", self.aim)
-        _positive("deadline", self.deadline)
-        _not_negative("worth", self.worth)
-        _not_negative("window", self.window)
-        _not_negative("message_aim", self.message_aim)
+        _require_positive("aim", self.aim)
+        _require_positive("deadline", self.deadline)
+        _require_not_negative("worth", self.worth)
+        _require_not_negative("window", self.window)
+        _require_not_negative("message_aim", self.message_aim)
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant: its share of the fleet, over all gateways; 0 where no limit is stated."""
+    """One tenant's share of the fleet, summed over all relays; 0 means no limit."""
 
     set_ups_per_s: float = 0.0
     open_connections: float = 0.0
 
     def __post_init__(self) -> None:
-        _not_negative("set_ups_per_s", self.set_ups_per_s)
-        _not_negative("open_connections", self.open_connections)
+        _require_not_negative("set_ups_per_s", self.set_ups_per_s)
+        _require_not_negative("open_connections", self.open_connections)
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything a balancer is told at its start."""
+    """The settings of a balancer; a value that it can't work with raises ValueError with the field's name.
+
+    ``siblings`` is the number of relays, this one included, and ``me`` this relay's number among them. ``move_price``,
+    ``probe_price`` and ``zone_price`` are in points: the cost of a move, a probe and a connection to another zone.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -145,7 +161,7 @@
         if not self.classes:
             raise ValueError("classes: at least one is needed")
         for name in ("siblings", "max_attempts", "overload_factor", "granularity"):
-            _positive(name, getattr(self, name))
+            _require_positive(name, getattr(self, name))
         for name in (
             "zone",
             "retry_after_max",
@@ -156,27 +172,27 @@
             "warm_after",
             "overload_window",
         ):
-            _not_negative(name, getattr(self, name))
+            _require_not_negative(name, getattr(self, name))
         if not 0 < self.cold_share <= 1:
-            raise ValueError("cold_share: must lie above 0 and at most at 1")
+            raise ValueError("cold_share: must be above 0 and at most 1")
 
 
-def _positive(name: str, value: float) -> None:
+def _require_positive(name: str, value: float) -> None:
     if not value > 0:
         raise ValueError(f"{name}: must be above 0")
 
 
-def _not_negative(name: str, value: float) -> None:
+def _require_not_negative(name: str, value: float) -> None:
     if not value >= 0:
         raise ValueError(f"{name}: must not be below 0")
 
 
-# Events: what a balancer is told.
+# Events: the input of a balancer.
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of the membership list."""
+    """One entry of the membership list."""
 
     server: str
     state: ServerState = ServerState.LIVE
@@ -188,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """News of the list of servers."""
+    """A change or the whole of the list of servers."""
 
     kind: MembershipKind
     servers: tuple[ServerEntry, ...] = ()
@@ -196,10 +212,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client asks for a connection; it is owed one final answer before ``deadline``.
+    """A client asks for a connection; it must get exactly one final answer before ``deadline``.
 
-    ``load_hint`` is its expected load in microseconds of work a second, 0 where unknown. ``returning``: its
-    connection stood before and broke or was moved.
+    ``load_hint`` is the expected load in microseconds of work a second, 0 if unknown. ``returning``: the client had
+    a connection before, which broke or was moved.
     """
 
     request: str
@@ -215,9 +231,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenConnection:
-    """A connection that ran through this gateway already when the balancer started.
+    """A connection that was already open through this relay when the balancer started.
 
-    One that is ``inherited`` stands, or stood, at the process of this gateway that this one takes over from.
+    ``inherited``: it is, or was, held by the predecessor, the process of this relay that this one takes over from.
     """
 
     request: str
@@ -232,7 +248,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Established:
-    """An attempt's connection stands."""
+    """The connection of an attempt is established, ``elapsed`` after the attempt was started."""
 
     request: str
     attempt: int
@@ -242,7 +258,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """An attempt ended; ``last`` tells that the request is over as well."""
+    """An attempt ended; ``last`` means that the request has ended with it."""
 
     request: str
     attempt: int
@@ -255,9 +271,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """News of an open connection.
+    """An observation on an open connection.
 
-    Its load (us of work a second), the time (ms) that a message takes at its server, or for how long (ms) it
+    ``amount`` depends on ``kind``: for ``LOAD`` the connection's load in microseconds of work a second, for ``DELAY``
+    the milliseconds that a message takes at its server, for ``SILENT`` the milliseconds for which this connection
     alone has returned nothing while its server answers others.
     """
 
@@ -270,7 +287,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """A probe came back, or did not."""
+    """A probe was answered or has failed; ``elapsed`` is the time since it was sent."""
 
     server: str
     result: Result
@@ -280,14 +297,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer set by ``SetTimer`` is due."""
+    """A timer set by ``SetTimer`` has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client left; nothing more is owed for the request."""
+    """The client left; its request needs no final answer any more."""
 
     request: str
 
@@ -295,12 +312,12 @@
 Event = Membership | Request | OpenConnection | Established | Outcome | Note | ProbeResult | Timer | ClientGone
 
 
-# Actions: what a balancer wants done.
+# Actions: the output of a balancer.
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; it times out after ``timeout``, or at the client's deadline when 0."""
+    """Start an attempt; it times out after ``timeout``, or at the client's deadline if that is 0."""
 
     request: str
     server: str
@@ -309,7 +326,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: refused, trying again does no harm; ``why`` names the rule, for a trace alone."""
+    """Final answer: refused; the client may safely try again. ``why`` names the rule, for traces only."""
 
     request: str
     retry_after: int = 0
@@ -318,7 +335,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised; ``why`` names the rule, for a trace alone."""
+    """Final answer: failed; the request may have run. ``why`` names the rule, for traces only."""
 
     request: str
     why: str = field(default="", compare=False)
@@ -326,7 +343,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt that is under way."""
 
     request: str
     attempt: int
@@ -334,7 +351,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """End an open connection politely; its client comes again. ``why`` names the rule, for a trace alone."""
+    """Close an open connection gracefully; its client connects again. ``why`` names the rule, for traces only."""
 
     request: str
     why: str = field(default="", compare=False)
@@ -342,7 +359,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server for a sign of life and its load report."""
+    """Probe a server: check that it answers and fetch its load report."""
 
     server: str
 
@@ -354,7 +371,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Hand in ``Timer(token)`` after ``delay``."""
+    """Deliver ``Timer(token)`` after ``delay``."""
 
     delay: int
     token: int
@@ -362,7 +379,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the people on call."""
+    """Write a log line for the operators."""
 
     text: str
 
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -177,7 +177,7 @@
 
     def levels(self) -> dict[str, int]:
         """Return the figures that are no counts."""
-        listed, avoided = self.balancer.rotation()
+        listed, avoided = self.balancer.rotation_counts()
         owed = sum(each.state is not State.OVER for each in self.transactions.values())
         return {"open_requests": owed, "registry_entries": listed, "out_of_rotation": avoided}
 
--- a/scaledeal/net/trace.py
+++ b/scaledeal/net/trace.py
@@ -173,7 +173,7 @@
             case api.Fail():
                 self.put(now, "fail", request=action.request, why=action.why)
             case api.Move():
-                flight = balancer.flights.get(action.request)
+                flight = balancer.requests.get(action.request)
                 told = self._server(now, balancer, flight.attempts[-1].server.id) if flight else {}
                 self.put(now, "move", request=action.request, why=action.why, rung=balancer.ladder.rung, **told)
             case api.Probe():
@@ -186,12 +186,12 @@
         if server is None:
             return {"server": name}
         asked = balancer.utilisation(server)
-        age = (now - server.reported_at) / MS if server.reported >= 0 else -1.0
+        age = (now - server.reported_at) / MS if server.reported_utilisation >= 0 else -1.0
         return {
             "server": name,
             "asked": -1.0 if asked is None else round(asked, 3),
             "told_ms": round(age, 1),
-            "cold": balancer.cold(server),
+            "cold": balancer.is_cold(server),
             "far": server.zone != balancer.settings.zone,
         }
 
--- a/scaledeal/policy.py
+++ b/scaledeal/policy.py
@@ -1,8 +1,8 @@
-"""Every decision of the balancer. Its types, events and actions: ``scaledeal/interface.py``.
+"""The decisions of the balancer. ``scaledeal/interface.py`` defines its settings, events and actions.
 
-The ordinary path: a *ladder* of filters admits or refuses a new connection, then *placement* takes one of
-the top two ready servers of its rendezvous ranking. Around it stand *membership*, *health*, the *cold-start
-budget* and the *attempts* of a request. No clock, I/O or globals: equal events give equal actions.
+The usual path: a *ladder* of admission filters admits or refuses a new connection, then *placement* takes one of
+the top two ready servers of the connection's rendezvous ranking. *Membership*, *health*, the *cold-start budget* and
+the *attempts* of a request support it. No clock, I/O or global state: the same events give the same actions.
 """
 
 from __future__ import annotations
@@ -16,839 +16,939 @@
 from typing import Any
 
 from scaledeal import interface as api
-from scaledeal.cold_start import MOST_TOLD, ColdStart, Slots
+from scaledeal.cold_start import MAX_PLAUSIBLE_UTILISATION, ColdStart, Slots
 
-MS, SECOND = 1_000_000, 1_000_000_000
+# In nanoseconds
+MS = 1_000_000
+SECOND = 1_000_000_000
 
 # Ladder
-INTERVAL = SECOND  # base interval of the index; also the delay between moves, as the paper advises
-OVERLOAD, UNDERLOAD = 80, 72  # index past which the ladder steps up, and under which it steps down
-SLOW_SCALE = 3.0  # without reports: a third of the load on slow servers reads as full load
-RUNGS, WORTH_RATIO = 11, 3  # rung 0 polices nothing, the last refuses all; a worth step's rate
-FEW, LEAST_RATE = 8.0, 1e-6  # set-ups in that window too few to tell a rate; a second, where none were seen
-ESTIMATE_WINDOW = 20 * SECOND  # window of the admission estimate that rungs are fractions of
+LADDER_INTERVAL_NS = SECOND  # base interval of the load index; also the delay between moves, as the paper advises
+OVERLOAD_INDEX = 80  # index above which the ladder steps up
+UNDERLOAD_INDEX = 72  # index under which the ladder steps down
+SLOW_LOAD_SCALE = 3.0  # without reports: a third of the load on slow servers counts as full load
+RUNGS = 11  # rung 0 admits all, the last refuses all
+WORTH_RATIO = 3  # factor between the admitted shares of two neighbouring worth levels
+MIN_SET_UPS_FOR_RATE = 8.0  # fewer set-ups than this in ESTIMATE_WINDOW_NS give no reliable rate
+MIN_RATE_PER_S = 1e-6  # rate that is assumed where no set-ups were seen
+ESTIMATE_WINDOW_NS = 20 * SECOND  # window of the admission estimate that rungs are fractions of
 
 # Placement
-STAY_UNDER = 0.7  # utilisation up to which a group keeps to its first server, or is moved to another
-BOUND, NEEDED = 1.25, 0.5  # multiple of the mean up to which it does where that is high; mean to need slots
-FULL = 0.9  # utilisation up to which servers share what comes by the room they have
-STAY_RATIO, KEEP_UNDER = 1.5, 0.9  # without reports: multiple of the mean load; of a slow one's load
-TOGETHER = 6.0  # connections of a group that stay together before the first reports have come
+GROUP_MAX_UTILISATION = 0.7  # utilisation up to which a server keeps its groups, or takes moved ones
+GROUP_MEAN_FACTOR = 1.25  # a server keeps its groups up to this multiple of the fleet's mean, if that is higher
+SLOTS_NEEDED_UTILISATION = 0.5  # fleet utilisation from which the slots of cold servers are needed
+FULL_UTILISATION = 0.9  # under this, two servers share new connections in proportion to their free capacity
+MAX_LOAD_RATIO = 1.5  # without reports: multiple of the mean load above which a server is crowded
+SLOW_LOAD_SHARE = 0.9  # without reports: share of the load at which a server turned slow that it may hold
+UNREPORTED_GROUP_CONNECTIONS = 6.0  # connections of a group that stay together before the first reports
 
 # Health
-BACK_OFF, BACK_OFF_DOUBLINGS = SECOND, 3  # a suspect's first time out, and how often it doubles
-DRAIN_SIGN, DRAIN_TOLD = 3, 8 * SECOND  # clients sent away that show a drain; when a list tells
-REPORT_AGE, NEWS_LASTS = 2, 3 * SECOND  # ticks a report is old when it comes; when it says nothing
+SUSPECT_BACK_OFF_NS = SECOND  # how long a server is avoided after its first failure
+SUSPECT_BACK_OFF_DOUBLINGS = 3  # how often that time doubles
+DRAIN_MIN_SENT_AWAY = 3  # clients sent away within a second that show that a server drains
+ASSUMED_DRAIN_NS = 8 * SECOND  # how long it then counts as draining; the list tells by then
+REPORT_AGE_TICKS = 2  # age of a report when it arrives
+OBSERVATION_LIFETIME_NS = 3 * SECOND  # age from which a note on delay is ignored; a report is after twice that
 
 # Attempts
-TIMEOUT_FACTOR = 4.0  # usual set-up times, or the aim if longer, that a first attempt may take
-RETRY_SHARE, RETRY_BURST = 0.2, 5.0  # further attempts for each set-up in the long run, and at once
-WINDOW = 2.0  # set-ups under way at first, by server, over all gateways; one more a round, half on trouble
+FIRST_TIMEOUT_FACTOR = 4.0  # multiple of the usual set-up time, or the aim if longer, for a first attempt
+RETRY_SHARE = 0.2  # retries per set-up in the long run
+RETRY_BURST = 5.0  # retries at once
+SET_UPS_PER_SERVER = 2.0  # initial limit on set-ups under way, of all relays; +1 a round trip, halved on failure
 
 # Probes and housekeeping
-TICK = 250 * MS
-PROBE_PERIOD, PROBE_COST = 1.5 * SECOND, 0.005  # how old a report is worth a probe; points they may cost
-PROBE_BURST, PROBE_KEPT = 10.0, 6.0  # probes saved up at most, and those of them that are kept for placing
-FRESH, PATIENCE, WAITING = SECOND, 80 * MS, 16  # a report good for placing; how long, and many, wait for it
-DRAIN_WAIT = SECOND  # time that a draining server gets to send its clients away itself
-MOVE_SHARE, CALM_SHARE = 0.1, 0.2  # shares moved in a tick off a troubled server; in calm
-DRAINED, HUNG = 2000.0, 2000.0  # ms to work off what piled up; a message's at one that hangs
-HUNG_SHARE, SHED_SHARE = 0.35, 0.05  # shares moved in a tick off a hung server; cut while the ladder polices
-LOSE_SHARE = 0.1  # without reports: share of its groups that a saturated server loses, a second of trouble
+TICK_NS = 250 * MS
+PROBE_INTERVAL_NS = 1.5 * SECOND  # age of a report at which a probe pays
+PROBE_POINTS_PER_REQUEST = 0.005  # points that probes may cost for each request
+MAX_SAVED_PROBES = 10.0
+PLACEMENT_PROBE_RESERVE = 6.0  # saved probes that are kept for placing requests
+FRESH_REPORT_AGE_NS = SECOND  # age up to which a report is good enough for placement
+REPORT_WAIT_NS = 80 * MS  # how long a request waits for a fresh report
+MAX_WAITING_REQUESTS = 16  # requests that wait for reports or slots at once
+DRAIN_GRACE_NS = SECOND  # time that a draining server gets to send its clients away itself
+MOVE_SHARE_PER_TICK = 0.1  # share of a saturated server's connections moved in a tick
+CALM_MOVE_SHARE_PER_TICK = 0.2  # the same on rung 0, with at most a third of the servers saturated
+BACKLOG_DRAIN_MS = 2000.0  # time in which a server works off its backlog
+HUNG_DELAY_MS = 2000.0  # message delay from which a server counts as hung
+HUNG_MOVE_SHARE_PER_TICK = 0.35  # share of a hung server's connections moved in a tick
+SHED_SHARE_PER_TICK = 0.05  # share of connections cut in a tick while the ladder polices
+GROUP_LOSS_PER_S = 0.1  # without reports: share of its groups that a saturated server loses per second
 
 
 def digest(name: str) -> int:
-    """Return 64 bits of a name's digest, equal at every gateway."""
+    """Return 64 bits of a name's digest, the same at every relay."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
-def mixed(key: int, server: int) -> float:
+def pair_hash(key: int, server: int) -> float:
     """Return a number between 0 and 1 for a pair of digests."""
-    # Guards against a digest for each pair: ranking a large fleet for every request ate the CPU.
+    # Mixing two digests is much cheaper than a digest of each pair: ranking a large fleet that way for every request
+    # takes most of the CPU.
     bits = (key ^ server) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     bits = (bits ^ bits >> 32) * 0xD6E8FEB86659FD93 & 0xFFFFFFFFFFFFFFFF
     return ((bits >> 11) + 0.5) / 2**53
 
 
 def rendezvous(key: str, servers: list[Server]) -> list[Server]:
-    """Rank servers for a key by weighted rendezvous hashing, the best first."""
-    number = digest(key)
-    scores = [(math.log(mixed(number, s.number)) / (s.weight * s.warmth), s.id, s) for s in servers]
+    """Rank servers for a key by weighted rendezvous hashing, best first."""
+    key_digest = digest(key)
+    scores = [(math.log(pair_hash(key_digest, s.digest)) / (s.weight * s.warmth), s.id, s) for s in servers]
     return [s for _, _, s in sorted(scores, reverse=True)]
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a request."""
+    """One attempt to send a request to a server."""
 
     server: Server
-    sent: int
+    sent_at: int
     result: api.Result | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
-    """A request from its arrival until its last outcome."""
+class RequestState:
+    """A request from its arrival until its last outcome, its open connection included."""
 
     id: str
-    cls: int
-    place_key: str
-    cell: tuple[int, bool]  # bucket: class, and whether it is over its tenant's share
+    class_index: int
+    placement_key: str
+    bucket: tuple[int, bool]  # of the ladder: class, and whether the tenant is over its share
     tenant: int
     deadline: int
     group: str
     attempts: list[Attempt] = field(default_factory=list)
-    load: float = 0.0  # as told by notes or hints; 0 while unknown
-    opened: bool = False
+    load: float = 0.0  # from notes or hints; 0 while unknown
+    established: bool = False
     returning: bool = False
-    answered: bool = False  # nothing more is owed or sent
-    asked_at: int = 0  # when reports were first asked for to place it
-    roomy: bool = False  # whether its pair, when last looked for, had room
-    since: int = 0  # when it came
+    answered: bool = False  # needs no answer any more, and no attempt is started for it
+    reports_requested_at: int = 0  # when probes were first sent to place it
+    has_roomy_pair: bool = False  # whether the last search for its pair found servers with room
+    arrived_at: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What this gateway knows of one server."""
+    """What this relay knows of one server."""
 
     id: str
-    untold: list[int]  # connections of unknown load, by class
-    number: int = 0  # digest of its id
+    unknown_loads: list[int]  # number of connections of unknown load, by class
+    digest: int = 0  # of its id
     slots: Slots = field(default_factory=Slots)  # while it is cold
     state: api.ServerState = api.ServerState.LIVE
     started: int = 0
     zone: int = 0
-    stripe: int = 0
+    cell: int = 0
     weight: float = 1.0
-    warmth: float = 1.0  # part of its capacity that it has by its age, as last looked at
-    open: dict[str, Flight] = field(default_factory=dict)  # open connections and set-ups under way
+    warmth: float = 1.0  # share of its capacity that it has at its age, at the last update
+    connections: dict[str, RequestState] = field(default_factory=dict)  # open ones and set-ups under way
     pending: int = 0  # set-ups under way
-    told_load: float = 0.0  # sum of the known loads of its connections
-    reported: float = -1.0  # utilisation last reported, and when, and own load at that time
+    known_load: float = 0.0  # sum of the known loads of its connections
+    reported_utilisation: float = -1.0  # in the last report; negative if there is none
     reported_at: int = 0
-    load_then: float = 0.0
-    past: list[float] = field(default_factory=list)  # own load at the last ticks, the oldest first
-    delay: float = 0.0  # ms that a message takes, while that is long
-    delay_at: int = 0
-    unit: float = 0.0  # learned capacity over its weight, in this gateway's units of load; 0 while unknown
-    limit: float = 0.0  # without reports: own load at which its messages last turned slow, 0 while unknown
-    troubled_since: int = 0
-    strikes: int = 0
-    broke_at: int = 0  # when an open connection of it last broke
-    doubted: bool = False  # whether its last set-up failed
-    sent_away: list[int] = field(default_factory=list)  # when it lately ended clients' connections politely
-    drains_until: int = 0  # until when it counts as draining though no list says so
+    load_at_report: float = 0.0  # this relay's load on it at the time that the last report describes
+    past_loads: list[float] = field(default_factory=list)  # this relay's load on it at the last ticks, oldest first
+    message_delay_ms: float = 0.0  # last noted; noted only while it is long
+    message_delay_at: int = 0
+    unit_capacity: float = 0.0  # learned capacity over its weight, in this relay's units of load; 0 while unknown
+    slow_load: float = 0.0  # without reports: this relay's load when its messages last turned slow; 0 while unknown
+    saturated_since: int = 0
+    failures: int = 0  # in a row
+    connection_broke_at: int = 0  # when an open connection last broke
+    last_set_up_failed: bool = False
+    sent_away_at: list[int] = field(default_factory=list)  # when it recently closed client connections gracefully
+    assumed_draining_until: int = 0  # counts as draining until then although the list does not say so
     suspect_until: int = 0
-    groups: dict[str, int] = field(default_factory=dict)  # connections it holds of each group
-    leaving: frozenset[str] = frozenset()  # groups it is to lose, as it is asked too much
-    probe_at: int = 0
-    probe_out: bool = False
-    asked_at: int = -SECOND
+    groups: dict[str, int] = field(default_factory=dict)  # number of its connections by group
+    leaving_groups: frozenset[str] = frozenset()  # groups that it is to lose because it is saturated
+    next_probe_at: int = 0
+    probe_pending: bool = False
+    probed_at: int = -SECOND
 
 
 class Ladder:
-    """The filters of this gateway: a rung in force, its buckets, and the index that moves it."""
+    """The admission filters of this relay: the rung in force, its token buckets, and the load index that moves it.
 
-    def __init__(self, worths: dict[tuple[int, bool], float], steady: bool = False) -> None:
+    A *bucket* is a class and whether the tenant is over its share; ``worths`` has each bucket's worth.
+    """
+
+    def __init__(self, worths: dict[tuple[int, bool], float], index_from_reports: bool = False) -> None:
         self.worths = worths
-        self.steady = steady  # whether the index is a level that reports tell, not a few notes
-        self.levels = sorted(set(worths.values()))
+        self.index_from_reports = index_from_reports  # whether the index is a reported level, not a few notes
+        self.worth_levels = sorted(set(worths.values()))
         self.rung = 0
         self.index_sum, self.index_count, self.last_index = 0.0, 0, 0.0
         self.estimate = dict.fromkeys(worths, 0.0)  # accepted set-ups a second, by bucket
         self.accepted = dict.fromkeys(worths, 0)
-        self.estimated_at = self.started = self.filled_at = 0
-        # Of its estimate, a bucket gets a share: that is its rate, and fills it with tokens.
-        self.shares, self.rates, self.tokens = (dict.fromkeys(worths, each) for each in (1.0, 0.0, 0.0))
+        self.estimated_at = self.started = self.refilled_at = 0
+        # The rate of a bucket is a share of its estimate; the bucket fills with tokens at that rate.
+        self.shares, self.rates, self.tokens = (dict.fromkeys(worths, initial) for initial in (1.0, 0.0, 0.0))
 
     def sample(self, index: float) -> None:
-        """Take one reading of the load index."""
+        """Add one reading of the load index, between 0 and 100."""
         self.index_sum += min(100.0, max(0.0, index))
         self.index_count += 1
 
-    def step(self, now: int, charges: list[float]) -> int:
-        """End a base interval: move one rung at most; return the move made."""
+    def step(self, now: int, class_loads: list[float]) -> int:
+        """End a base interval and move by at most one rung; return the move.
+
+        ``class_loads`` has the mean load of a connection of each class.
+        """
         index = self.index_sum / self.index_count if self.index_count else 0.0
-        # Guards against overshoot: what a rung refuses shows late where connections live long.
-        up = index > OVERLOAD and not (self.steady and index < self.last_index)
+        # The effect of a rung shows late where connections live long, so the ladder overshoots if it keeps stepping
+        # up while the index falls.
+        up = index > OVERLOAD_INDEX and not (self.index_from_reports and index < self.last_index)
         self.index_sum, self.index_count, self.last_index = 0.0, 0, index
-        self._learn(now)
-        move = max(0, min(RUNGS - 1, self.rung + int(up) - int(index < UNDERLOAD))) - self.rung
+        self._update_estimate(now)
+        move = max(0, min(RUNGS - 1, self.rung + int(up) - int(index < UNDERLOAD_INDEX))) - self.rung
         if move:
             self.rung += move
-            self._install(now, charges)
+            self._set_rates(now, class_loads)
         return move
 
-    def _learn(self, now: int) -> None:
+    def _update_estimate(self, now: int) -> None:
         span = now - self.estimated_at
         if self.rung == 0 and span > 0:
-            # Guards against an estimate that starts far too low: until the window has passed, a plain mean.
-            keep = min(math.exp(-span / ESTIMATE_WINDOW), 1 - span / (now - self.started))
-            for cell, count in self.accepted.items():
-                self.estimate[cell] = self.estimate[cell] * keep + (1 - keep) * count * SECOND / span
+            # A moving average that starts from zero is far too low at first: until the window has passed, take the
+            # plain mean.
+            keep = min(math.exp(-span / ESTIMATE_WINDOW_NS), 1 - span / (now - self.started))
+            for bucket, count in self.accepted.items():
+                self.estimate[bucket] = self.estimate[bucket] * keep + (1 - keep) * count * SECOND / span
         self.accepted = dict.fromkeys(self.worths, 0)
         self.estimated_at = now
 
-    def _install(self, now: int, charges: list[float]) -> None:
-        # Guards against a class shut out because none of it had come when the ladder first moved.
-        least = sum(self.estimate.values()) / len(self.worths) or LEAST_RATE
-        rates = {c: max(rate, LEAST_RATE if c[1] else least) for c, rate in self.estimate.items()}
-        wanted = {c: rate * charges[c[0]] for c, rate in rates.items()}
+    def _set_rates(self, now: int, class_loads: list[float]) -> None:
+        # Each class gets at least the mean rate of the buckets: one of which no request had come when the ladder first
+        # moved would otherwise be shut out.
+        mean = sum(self.estimate.values()) / len(self.worths) or MIN_RATE_PER_S
+        rates = {b: max(rate, MIN_RATE_PER_S if b[1] else mean) for b, rate in self.estimate.items()}
+        wanted = {b: rate * class_loads[b[0]] for b, rate in rates.items()}
         budget = (1 - self.rung / (RUNGS - 1)) * sum(wanted.values())
         low, high = 0.0, 1.0
-        for _ in range(20):  # the lowest level's fraction, so that the rung's budget is met
+        for _ in range(20):  # bisect the share of the lowest worth level with which the rung's budget is met
             mid = (low + high) / 2
-            used = sum(load * self._level(cell, mid) for cell, load in wanted.items())
+            used = sum(load * self._share(bucket, mid) for bucket, load in wanted.items())
             low, high = (mid, high) if used <= budget else (low, mid)
-        for cell, rate in rates.items():
-            self.shares[cell] = self._level(cell, low)
-            self.rates[cell] = rate * self.shares[cell]
-            depth = max(1.0, self.rates[cell])
-            self.tokens[cell] = min(depth, self.tokens[cell]) if self.rung > 1 else depth
-        self.filled_at = now
-
-    def _level(self, cell: tuple[int, bool], lowest: float) -> float:
-        return min(1.0, lowest * float(WORTH_RATIO) ** self.levels.index(self.worths[cell]))
-
-    def admit(self, now: int, cell: tuple[int, bool]) -> bool:
-        """Tell whether the rung in force lets this set-up pass, and take its token."""
+        for bucket, rate in rates.items():
+            self.shares[bucket] = self._share(bucket, low)
+            self.rates[bucket] = rate * self.shares[bucket]
+            depth = max(1.0, self.rates[bucket])
+            self.tokens[bucket] = min(depth, self.tokens[bucket]) if self.rung > 1 else depth
+        self.refilled_at = now
+
+    def _share(self, bucket: tuple[int, bool], lowest: float) -> float:
+        return min(1.0, lowest * float(WORTH_RATIO) ** self.worth_levels.index(self.worths[bucket]))
+
+    def admit(self, now: int, bucket: tuple[int, bool]) -> bool:
+        """Tell whether the rung in force admits this set-up, and take a token for it."""
         if self.rung in (0, RUNGS - 1):
             return self.rung == 0
-        span = (now - self.filled_at) / SECOND
-        self.filled_at = now
-        for each, rate in self.rates.items():  # a bucket holds a second of its rate
-            self.tokens[each] = min(max(1.0, rate), self.tokens[each] + rate * span)
-        if self.tokens[cell] < 1:
+        span = (now - self.refilled_at) / SECOND
+        self.refilled_at = now
+        for refilled, rate in self.rates.items():  # a bucket holds one second of its rate
+            self.tokens[refilled] = min(max(1.0, rate), self.tokens[refilled] + rate * span)
+        if self.tokens[bucket] < 1:
             return False
-        self.tokens[cell] -= 1
+        self.tokens[bucket] -= 1
         return True
 
 
 class Balancer:
-    """The decisions of one gateway."""
+    """The decisions of one relay."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.servers, self.live = dict[str, Server](), list[Server]()
-        self.known: dict[str, Server] = {}  # servers of which a tick has something to look at
-        self.draining: dict[Server, int] = {}  # servers told to drain while they held connections, and when
-        self.flights, self.held = dict[str, Flight](), dict[str, Flight]()
-        self.out: list[api.Action] = []
+        self.tracked: dict[str, Server] = {}  # servers with connections or reports, which a tick looks at
+        self.draining: dict[Server, int] = {}  # servers listed as draining while they held connections, and since when
+        self.requests, self.held = dict[str, RequestState](), dict[str, RequestState]()
+        self.actions: list[api.Action] = []
         self.handlers: dict[type[api.Event], Callable[[Any], None]] = {
-            api.Request: self._request,
-            api.Established: self._established,
-            api.Outcome: self._outcome,
-            api.Note: self._note,
-            api.ProbeResult: self._probed,
-            api.Timer: self._tick,
-            api.Membership: self._membership,
-            api.OpenConnection: self._adopt,
-            api.ClientGone: self._client_gone,
+            api.Request: self._on_request,
+            api.Established: self._on_established,
+            api.Outcome: self._on_outcome,
+            api.Note: self._on_note,
+            api.ProbeResult: self._on_probe_result,
+            api.Timer: self._on_timer,
+            api.Membership: self._on_membership,
+            api.OpenConnection: self._on_open_connection,
+            api.ClientGone: self._on_client_gone,
         }
         self.started = -1
-        self.adopted = False  # whether connections were open here already at the start
-        self.now = self.pending = 0  # the time, and the set-ups under way
-        shares = ((False, 1.0), (True, settings.over_share_worth))
+        self.took_over_open = False  # whether connections that no predecessor handed over were open at the start
+        self.now = self.pending = 0  # current time; set-ups under way
+        bucket_kinds = ((False, 1.0), (True, settings.over_share_worth))
         self.ladder = Ladder(
-            {(i, over): cls.worth * share for i, cls in enumerate(settings.classes) for over, share in shares},
+            {(i, over): cls.worth * share for i, cls in enumerate(settings.classes) for over, share in bucket_kinds},
             settings.report_source is not api.Source.NONE,
         )
-        self.shortest_aim = min((c.message_aim for c in settings.classes if c.message_aim), default=math.inf)
-        self.load_sum, self.load_count = ([each] * len(settings.classes) for each in (0.0, 0))  # first told
-        self.tenant_open = [0] * max(1, len(settings.tenants))
-        self.retries, self.probes = RETRY_BURST, PROBE_BURST * settings.may_probe  # what may be sent now
-        self.window = self.least_window = self.set_up_time = 0.0  # the last is a set-up's usual time
+        self.shortest_message_aim = min((c.message_aim for c in settings.classes if c.message_aim), default=math.inf)
+        # By class: sum and number of the first loads noted on connections
+        self.load_sum, self.load_count = ([zero] * len(settings.classes) for zero in (0.0, 0))
+        self.tenant_connections = [0] * max(1, len(settings.tenants))
+        # How many retries and probes may be sent now
+        self.retry_tokens, self.probe_tokens = RETRY_BURST, MAX_SAVED_PROBES * settings.may_probe
+        # Limit on set-ups under way, its least value, and the usual time of a set-up
+        self.set_up_limit = self.min_set_up_limit = self.set_up_time = 0.0
         self.cold_start = ColdStart(settings)
-        self.step_at = self.watch_at = self.watch_failures = self.slot_timer = 0
-        self.bound, self.unit = STAY_UNDER, 0.0  # of a group's server; capacity of weight 1, in units of load
+        self.next_step_at = self.next_watch_at = self.watch_failures = self.slot_timer_at = 0
+        # Utilisation up to which a server keeps its groups; capacity for weight 1, in units of load
+        self.group_limit, self.unit_capacity = GROUP_MAX_UTILISATION, 0.0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Take one event and return the actions it calls for."""
+        """Process one event and return the actions to carry out, in order.
+
+        The first event starts the balancer. Raise ValueError if ``now`` is before the previous event's.
+        """
         if now < self.now:
             raise ValueError("now: time went backwards")
-        self.now, self.out = now, []
+        self.now, self.actions = now, []
         if self.started < 0:
             self.started = self.ladder.estimated_at = self.ladder.started = now
-            self.step_at = now + INTERVAL
-            self.out = [*([api.Watch()] if self.settings.ask_discovery else []), api.SetTimer(TICK, 0)]
+            self.next_step_at = now + LADDER_INTERVAL_NS
+            self.actions = [*([api.Watch()] if self.settings.ask_discovery else []), api.SetTimer(TICK_NS, 0)]
         self.handlers[type(event)](event)
-        return self.out
+        return self.actions
 
     # Membership
 
-    def _membership(self, event: api.Membership) -> None:
+    def _on_membership(self, event: api.Membership) -> None:
         if event.kind is api.MembershipKind.LOST:
-            # Guards against asking in step with the others when the list comes back: jittered, backing off.
+            # Relays lose the list together and would all ask for it again in step: wait with jitter and back off.
             wait = SECOND * min(4, 2**self.watch_failures)
-            self.watch_at = self.now + int(wait * self.random.uniform(0.5, 1.0))
+            self.next_watch_at = self.now + int(wait * self.random.uniform(0.5, 1.0))
             self.watch_failures += 1
             return
         self.watch_failures = 0
         if event.kind is not api.MembershipKind.CHANGES:
-            named = {entry.server for entry in event.servers}
-            for server in (s for s in self.servers.values() if s.id not in named):
+            listed = {entry.server for entry in event.servers}
+            for server in (s for s in self.servers.values() if s.id not in listed):
                 server.state = api.ServerState.GONE
         for entry in event.servers:
-            self._list(entry)
-        for gone in [s.id for s in self.servers.values() if s.state is api.ServerState.GONE and not s.open]:
+            self._update_server(entry)
+        for gone in [s.id for s in self.servers.values() if s.state is api.ServerState.GONE and not s.connections]:
             del self.servers[gone]
         self.live = [s for s in self.servers.values() if s.state is api.ServerState.LIVE]
-        self.least_window = max(1.0, WINDOW * len(self.live) / self.settings.siblings / 2)
-        self.window = self.window or 2 * self.least_window
-        self._learn_load(0)
-        self._retry_held(len(self.held))
+        self.min_set_up_limit = max(1.0, SET_UPS_PER_SERVER * len(self.live) / self.settings.siblings / 2)
+        self.set_up_limit = self.set_up_limit or 2 * self.min_set_up_limit
+        self._update_cold_start(0)
+        self._place_held(len(self.held))
 
-    def _meet(self, name: str) -> Server:
+    def _add_server(self, name: str) -> Server:
         server = self.servers[name] = Server(name, [0] * len(self.settings.classes), digest(name))
-        server.slots = self.cold_start.begin(self.now, server.number)
+        server.slots = self.cold_start.new_slots(self.now, server.digest)
         return server
 
-    def _list(self, entry: api.ServerEntry) -> None:
+    def _update_server(self, entry: api.ServerEntry) -> None:
         server = self.servers.get(entry.server)
         if server is None:
-            server = self._meet(entry.server)
-            # At the start nothing is known.
-            server.probe_at = self.now + (self.now > self.started) * int(PROBE_PERIOD * self.random.random())
-        if entry.started > server.started:  # a new process: what was known of the old one is void
-            server.strikes = server.suspect_until = server.troubled_since = server.drains_until = 0
-            server.reported, server.delay = -1.0, 0.0
-        if entry.state is api.ServerState.DRAINING and server.open:
+            server = self._add_server(entry.server)
+            # At the start nothing is known of any server, so all are probed at once; later ones at a random time.
+            server.next_probe_at = self.now + (self.now > self.started) * int(PROBE_INTERVAL_NS * self.random.random())
+        if entry.started > server.started:  # a new process: observations of the old one are void
+            server.failures = server.suspect_until = server.saturated_since = server.assumed_draining_until = 0
+            server.reported_utilisation, server.message_delay_ms = -1.0, 0.0
+        if entry.state is api.ServerState.DRAINING and server.connections:
             self.draining.setdefault(server, self.now)
         server.state, server.started = entry.state, max(server.started, entry.started)
-        server.zone, server.stripe = entry.zone, entry.cell
+        server.zone, server.cell = entry.zone, entry.cell
         server.weight = entry.weight if self.settings.fixed_weights and entry.weight > 0 else 1.0
 
     # Loads
 
-    def _charge(self, cls: int) -> float:
-        return self.load_sum[cls] / self.load_count[cls] if self.load_count[cls] else self._mean_charge()
+    def _class_load(self, cls: int) -> float:
+        """Return the mean load of a connection of this class, or of any class while that is unknown."""
+        return self.load_sum[cls] / self.load_count[cls] if self.load_count[cls] else self._mean_load()
 
-    def _mean_charge(self) -> float:
+    def _mean_load(self) -> float:
+        """Return the mean load of a connection; 1 while no load is known."""
         return sum(self.load_sum) / sum(self.load_count) if any(self.load_count) else 1.0
 
     def _own_load(self, server: Server) -> float:
-        return server.told_load + sum(n * self._charge(c) for c, n in enumerate(server.untold) if n)
+        """Return the load of this relay's connections to a server."""
+        return server.known_load + sum(n * self._class_load(c) for c, n in enumerate(server.unknown_loads) if n)
 
     def utilisation(self, server: Server) -> float | None:
-        """Return the load asked of a server over what it can do, as far as reports tell."""
-        if server.reported < 0 or self.now - server.reported_at > 2 * NEWS_LASTS:
+        """Return a server's estimated load over its capacity, or None without a recent report."""
+        if server.reported_utilisation < 0 or self.now - server.reported_at > 2 * OBSERVATION_LIFETIME_NS:
             return None
-        added = self._own_load(server) - server.load_then
-        # Guards against a server slower than most that is filled past its capacity between two reports.
-        unit = min(server.unit or self.unit, self.unit) * server.weight
-        return max(0.0, server.reported + (added / unit if unit else 0.0))
-
-    def _attach(self, server: Server, flight: Flight) -> None:
-        server.open[flight.id] = flight
-        self.known[server.id] = server
-        server.groups[flight.place_key] = server.groups.get(flight.place_key, 0) + 1
-        if flight.load:
-            server.told_load += flight.load
+        added = self._own_load(server) - server.load_at_report
+        # Taking the lower of its own and the usual capacity keeps a server that is slower than most from being filled
+        # past its capacity between two reports.
+        unit = min(server.unit_capacity or self.unit_capacity, self.unit_capacity) * server.weight
+        return max(0.0, server.reported_utilisation + (added / unit if unit else 0.0))
+
+    def _attach(self, server: Server, request: RequestState) -> None:
+        server.connections[request.id] = request
+        self.tracked[server.id] = server
+        server.groups[request.placement_key] = server.groups.get(request.placement_key, 0) + 1
+        if request.load:
+            server.known_load += request.load
         else:
-            server.untold[flight.cls] += 1
+            server.unknown_loads[request.class_index] += 1
 
-    def _detach(self, server: Server, flight: Flight) -> None:
-        if server.open.pop(flight.id, None) is None:
+    def _detach(self, server: Server, request: RequestState) -> None:
+        if server.connections.pop(request.id, None) is None:
             return
-        server.groups[flight.place_key] -= 1
-        if not server.groups[flight.place_key]:
-            del server.groups[flight.place_key]
-        if flight.load:
-            server.told_load = max(0.0, server.told_load - flight.load) if server.open else 0.0
+        server.groups[request.placement_key] -= 1
+        if not server.groups[request.placement_key]:
+            del server.groups[request.placement_key]
+        if request.load:
+            server.known_load = max(0.0, server.known_load - request.load) if server.connections else 0.0
         else:
-            server.untold[flight.cls] -= 1
-        if flight.opened:
-            self.tenant_open[flight.tenant] -= 1
-        if server.state is api.ServerState.GONE and not server.open:
+            server.unknown_loads[request.class_index] -= 1
+        if request.established:
+            self.tenant_connections[request.tenant] -= 1
+        if server.state is api.ServerState.GONE and not server.connections:
             self.servers.pop(server.id, None)
 
-    def _report(self, server: Server, values: tuple[float, ...]) -> None:
-        told = dict(zip(self.settings.report_fields, values, strict=False))
-        value = told.get(api.Field.UTILISATION, told.get(api.Field.BUSY))
-        if value is None or not 0 <= value <= MOST_TOLD:
+    def _record_report(self, server: Server, values: tuple[float, ...]) -> None:
+        report = dict(zip(self.settings.report_fields, values, strict=False))
+        value = report.get(api.Field.UTILISATION, report.get(api.Field.BUSY))
+        if value is None or not 0 <= value <= MAX_PLAUSIBLE_UTILISATION:
             return
-        server.reported, server.reported_at = value, self.now
-        self.known[server.id] = server
-        # Guards against a report taken for the present: it tells of the load before what was moved since.
-        server.load_then = server.past[0] if server.past else self._own_load(server)
-        # Guards against no capacity learned where reports count no connections: others' loads are like ours.
-        held = self._own_load(server) * self.settings.siblings
-        load = told[api.Field.INFLIGHT] * self._mean_charge() if api.Field.INFLIGHT in told else held
-        if not self.cold(server):
-            count = told.get(api.Field.INFLIGHT, len(server.open) * self.settings.siblings)
-            self.cold_start.report(server.weight, count, value)
-        # Guards against a capacity in a unit of its own: without a known load each connection counts as 1.
-        if value > 0.05 and load and any(self.load_count) and not self.cold(server):
+        server.reported_utilisation, server.reported_at = value, self.now
+        self.tracked[server.id] = server
+        # A report describes the load at the time when it was made, before anything that was moved since.
+        server.load_at_report = server.past_loads[0] if server.past_loads else self._own_load(server)
+        # Where reports count no connections, assume that each other relay's load equals this one's: without that no
+        # capacity would be learned from them.
+        all_relays_load = self._own_load(server) * self.settings.siblings
+        load = report[api.Field.INFLIGHT] * self._mean_load() if api.Field.INFLIGHT in report else all_relays_load
+        if not self.is_cold(server):
+            count = report.get(api.Field.INFLIGHT, len(server.connections) * self.settings.siblings)
+            self.cold_start.record_report(server.weight, count, value)
+        # Learn only once a load is known: until then each connection counts as 1, and the capacity would be in another
+        # unit than the loads that come later.
+        if value > 0.05 and load and any(self.load_count) and not self.is_cold(server):
             unit = load / value / server.weight
-            self.unit += (unit - self.unit) * (0.05 if self.unit else 1.0)
-            server.unit += (unit - server.unit) * (0.1 if server.unit else 1.0)
+            self.unit_capacity += (unit - self.unit_capacity) * (0.05 if self.unit_capacity else 1.0)
+            server.unit_capacity += (unit - server.unit_capacity) * (0.1 if server.unit_capacity else 1.0)
 
-    def _note(self, event: api.Note) -> None:
-        flight, server = self.flights.get(event.request), self.servers.get(event.server)
-        if flight is None or server is None or event.request not in server.open:
+    def _on_note(self, event: api.Note) -> None:
+        request, server = self.requests.get(event.request), self.servers.get(event.server)
+        if request is None or server is None or event.request not in server.connections:
             return
         if event.kind is api.NoteKind.SILENT:
-            # Guards against a client left at a connection that fell silent while its server answers others.
-            if flight.opened and not flight.answered:
-                flight.answered = True
-                self.out.append(api.Move(flight.id, "silent"))
+            # A client would otherwise stay on a connection that fell silent while its server answers others.
+            if request.established and not request.answered:
+                request.answered = True
+                self.actions.append(api.Move(request.id, "silent"))
             return
         if event.kind is api.NoteKind.DELAY:
-            server.limit = self._own_load(server) if event.amount >= server.delay else server.limit
-            server.delay, server.delay_at = event.amount, self.now
+            server.slow_load = self._own_load(server) if event.amount >= server.message_delay_ms else server.slow_load
+            server.message_delay_ms, server.message_delay_at = event.amount, self.now
             return
         if not 0 < event.amount < math.inf:
             return
         first = not any(self.load_count)
-        if not flight.load:
-            server.untold[flight.cls] -= 1
-            self.load_sum[flight.cls] += event.amount
-            self.load_count[flight.cls] += 1
-        server.told_load += event.amount - flight.load
-        flight.load = event.amount
+        if not request.load:
+            server.unknown_loads[request.class_index] -= 1
+            self.load_sum[request.class_index] += event.amount
+            self.load_count[request.class_index] += 1
+        server.known_load += event.amount - request.load
+        request.load = event.amount
         if first and any(self.load_count):
-            for known in self.servers.values():  # what was noted in connections is void
-                known.load_then, known.past = self._own_load(known), []
+            for known in self.servers.values():  # loads recorded so far counted each connection as 1
+                known.load_at_report, known.past_loads = self._own_load(known), []
 
     # Health
 
-    def _strike(self, server: Server) -> None:
-        # Guards against blaming servers one by one for trouble that is everywhere, such as a slow store.
-        if 3 * sum(1 for s in self.live if s.strikes and s is not server) >= len(self.live):
+    def _record_failure(self, server: Server) -> None:
+        """Suspect a server for a time that doubles with each failure in a row."""
+        # Trouble that is everywhere, such as a slow shared store, is not the fault of single servers: no more than
+        # about a third of them are suspected.
+        if 3 * sum(1 for s in self.live if s.failures and s is not server) >= len(self.live):
             return
-        if server.strikes == 0:
-            self.out.append(api.Log(f"server {server.id} suspected"))
-        server.suspect_until = self.now + BACK_OFF * 2 ** min(server.strikes, BACK_OFF_DOUBLINGS)
-        server.strikes += 1
-
-    def _saturated(self, server: Server) -> bool:
-        slow = server.delay * MS > self.shortest_aim and self.now - server.delay_at < NEWS_LASTS
+        if server.failures == 0:
+            self.actions.append(api.Log(f"server {server.id} suspected"))
+        server.suspect_until = self.now + SUSPECT_BACK_OFF_NS * 2 ** min(server.failures, SUSPECT_BACK_OFF_DOUBLINGS)
+        server.failures += 1
+
+    def _is_saturated(self, server: Server) -> bool:
+        slow = (
+            server.message_delay_ms * MS > self.shortest_message_aim
+            and self.now - server.message_delay_at < OBSERVATION_LIFETIME_NS
+        )
         return slow or (self.utilisation(server) or 0.0) > 1.0
 
-    def _suspect(self, server: Server) -> bool:
-        out = max(server.suspect_until, server.drains_until) > self.now
-        return out or (server.strikes > 0 and server.pending > 0)
+    def _is_suspect(self, server: Server) -> bool:
+        """Tell whether a server is avoided; after its back-off, it gets one set-up as a trial."""
+        avoided = max(server.suspect_until, server.assumed_draining_until) > self.now
+        return avoided or (server.failures > 0 and server.pending > 0)
 
     # Cold-start budget
 
-    def cold(self, server: Server) -> bool:
+    def is_cold(self, server: Server) -> bool:
         """Tell whether a server may still be cold."""
         return server.warmth < 1
 
-    def _learn_load(self, passed: int) -> None:
+    def _update_cold_start(self, elapsed: int) -> None:
+        """Update the servers' warmth and the fleet's load, ``elapsed`` nanoseconds after the last step."""
         for server in self.live:
             server.warmth = self.cold_start.warmth(self.now - server.started) if server.started else 1.0
-        told = ((s.weight * s.warmth, None if self.cold(s) else self.utilisation(s)) for s in self.live)
-        self.cold_start.learn(passed, told)
-
-    def _awaits_slot(self, flight: Flight, first: Server) -> bool:
-        """Tell whether a slot at a cold server is better waited for than the first taken; set a timer."""
-        # Guards against a crowd that comes again and all goes to the warm server told of as idlest.
-        crowd = not flight.roomy or (flight.returning and self.cold_start.mean >= NEEDED)
-        cold = [s for s in self.live if self._takes(s)] if crowd else []
-        due = [self.now + self.cold_start.wait(s.slots, s.weight * s.warmth) for s in cold]
-        last = min(flight.since + self.cold_start.window, flight.deadline - self.set_up_time - 2 * TICK)
-        if first.warmth < 1 or len(self.held) > WAITING or min(due, default=last) >= last:
+        loads = ((s.weight * s.warmth, None if self.is_cold(s) else self.utilisation(s)) for s in self.live)
+        self.cold_start.update_load(elapsed, loads)
+
+    def _waits_for_slot(self, request: RequestState, first: Server) -> bool:
+        """Tell whether to wait for a slot at a cold server rather than use ``first``, and set a timer if so."""
+        # Without waiting, a crowd of returning clients would all go to the warm server with the lowest reported load.
+        crowd = not request.has_roomy_pair or (
+            request.returning and self.cold_start.fleet_utilisation >= SLOTS_NEEDED_UTILISATION
+        )
+        cold = [s for s in self.live if self._is_cold_with_room(s)] if crowd else []
+        due = [self.now + self.cold_start.time_to_next_slot(s.slots, s.weight * s.warmth) for s in cold]
+        latest = min(request.arrived_at + self.cold_start.window, request.deadline - self.set_up_time - 2 * TICK_NS)
+        if first.warmth < 1 or len(self.held) > MAX_WAITING_REQUESTS or min(due, default=latest) >= latest:
             return False
-        if self.slot_timer <= self.now:
-            self.slot_timer = min(due)
-            self.out.append(api.SetTimer(self.slot_timer - self.now, 1))
+        if self.slot_timer_at <= self.now:
+            self.slot_timer_at = min(due)
+            self.actions.append(api.SetTimer(self.slot_timer_at - self.now, 1))
         return True
 
     # Placement
 
-    def _ready(self, flight: Flight) -> list[Server]:
-        """Return the servers a new connection may go to; the doubtful ones only when there are no others."""
-        ready = self._in_rotation([s for s in self.live if self._allowed(flight, s)])
-        # Guards against slots that lapse while warm servers are asked too much.
-        newcomers = [s for s in ready if self._takes(s)] if self.cold_start.mean >= NEEDED else []
-        return newcomers or ready
+    def _candidates(self, request: RequestState) -> list[Server]:
+        """Return the servers that a new connection may go to; suspect ones only if there are no others."""
+        ready = self._in_rotation([s for s in self.live if self._may_send(request, s)])
+        # While the fleet is busy, cold servers with an open slot go first: a slot that lapses unused leaves its load
+        # to warm servers that have too much already.
+        cold = (
+            [s for s in ready if self._is_cold_with_room(s)]
+            if self.cold_start.fleet_utilisation >= SLOTS_NEEDED_UTILISATION
+            else []
+        )
+        return cold or ready
 
-    def _takes(self, server: Server) -> bool:
-        return server.warmth < 1 and not self._suspect(server) and (self.utilisation(server) or 0.0) <= FULL
+    def _is_cold_with_room(self, server: Server) -> bool:
+        return (
+            server.warmth < 1 and not self._is_suspect(server) and (self.utilisation(server) or 0.0) <= FULL_UTILISATION
+        )
 
     def _in_rotation(self, live: list[Server]) -> list[Server]:
-        # Guards against a newcomer pushed over by all; a restarted gateway forgot what it sent just before.
-        knows, is_open = self.now - self.started >= self.cold_start.window, self.cold_start.open
-        live = [s for s in live if s.warmth == 1 or (knows and is_open(self.now, s.slots, s.weight * s.warmth))]
-        # Guards against each gateway learning by a set-up which server answers nothing.
-        live = [s for s in live if not s.probe_out or self.now - s.asked_at < PATIENCE] or live
-        return [s for s in live if not self._suspect(s)] or live
-
-    def rotation(self) -> tuple[int, int]:
-        """Return how many servers are listed, and how many of those no new connection goes to now."""
+        # A cold server is used only in its slots, as all relays together would overload it. A relay that has just
+        # restarted does not know what it sent there before, and leaves it out for one window.
+        window_known, has_slot = self.now - self.started >= self.cold_start.window, self.cold_start.has_open_slot
+        live = [s for s in live if s.warmth == 1 or (window_known and has_slot(self.now, s.slots, s.weight * s.warmth))]
+        # A late probe shows that a server answers nothing; otherwise each relay would learn it by a set-up of its own.
+        live = [s for s in live if not s.probe_pending or self.now - s.probed_at < REPORT_WAIT_NS] or live
+        return [s for s in live if not self._is_suspect(s)] or live
+
+    def rotation_counts(self) -> tuple[int, int]:
+        """Return how many servers are listed, and how many of those get no new connections now."""
         listed = sum(s.state is not api.ServerState.GONE for s in self.servers.values())
         return listed, listed - len(self._in_rotation(self.live))
 
-    def _pair(self, flight: Flight, ready: list[Server]) -> list[Server]:
-        key = flight.place_key
-        if tried := {a.server for a in flight.attempts}:
+    def _top_two(self, request: RequestState, ready: list[Server]) -> list[Server]:
+        """Return the two best servers for a request, or fewer if there are no more."""
+        key = request.placement_key
+        if tried := {a.server for a in request.attempts}:
             ready = [s for s in ready if s not in tried] or ready
         ranked = rendezvous(key, ready)
         if self.settings.zone_price > self.settings.move_price and self.ladder.rung == 0:
-            # Guards against dear crossings: placing near and moving later, if that fails, costs less.
+            # Where crossing zones costs more than a move, place in the own zone and move later if that fails.
             ranked.sort(key=lambda s: s.zone != self.settings.zone)
-        if flight.group:
-            # Guards against paying for a group at two servers: the one that holds most of it leads.
+        if request.group:
+            # A group at two servers costs twice, so the server that holds most of it goes first.
             ranked.sort(key=lambda s: -s.groups.get(key, 0))
-        # Guards against a saturated server scattering its groups: it loses them one by one, whole.
-        ranked = [s for s in ranked if key not in s.leaving] or ranked
-        # Guards against a group that fills its first servers while others stand idle.
-        mean = sum(self._own_load(s) / s.weight for s in self.known.values()) / max(1, len(self.live))
-        roomy = list(islice((s for s in ranked if not self._crowded(s, key, mean)), 2))
-        flight.roomy = bool(roomy)
+        # A saturated server loses its groups whole, one by one; new connections of those go elsewhere, so that its
+        # groups are not scattered.
+        ranked = [s for s in ranked if key not in s.leaving_groups] or ranked
+        # Without the check for crowded servers, a group fills its first servers while others are idle.
+        mean = sum(self._own_load(s) / s.weight for s in self.tracked.values()) / max(1, len(self.live))
+        roomy = list(islice((s for s in ranked if not self._is_crowded(s, key, mean)), 2))
+        request.has_roomy_pair = bool(roomy)
         return roomy or ranked[:2]
 
-    def _choose(self, flight: Flight, pair: list[Server]) -> Server:
-        """Take one of two: the one asked less, or either while both have room."""
+    def _choose(self, request: RequestState, pair: list[Server]) -> Server:
+        """Choose the less loaded of two servers, or one at random while both have room."""
         first, second = pair[0], pair[-1]
         a, b = self.utilisation(first), self.utilisation(second)
-        if a is None or b is None or not self.unit:
+        if a is None or b is None or not self.unit_capacity:
             a, b = (self._own_load(s) / s.weight for s in (first, second))
-        elif max(a, b) < FULL:
-            # Guards against all gateways taking one server on one report: by room, the first counts twice.
-            share = 2 * (FULL - a) / (2 * (FULL - a) + FULL - b)
+        elif max(a, b) < FULL_UTILISATION:
+            # If all relays took the less loaded server of the same report, they would fill it together: choose in
+            # proportion to free capacity, that of the first counted twice.
+            share = 2 * (FULL_UTILISATION - a) / (2 * (FULL_UTILISATION - a) + FULL_UTILISATION - b)
             return first if self.random.random() < share else second
-        # A group keeps to its first server where that is not crowded: a second one costs more.
-        return first if a <= b or (flight.group and flight.roomy) else second
-
-    def _crowded(self, server: Server, key: str, mean: float) -> bool:
-        asked = self.utilisation(server)
-        if asked is not None and (asked > STAY_UNDER or self.unit):
-            return asked > self.bound
+        # A group stays at its first server unless that is crowded: a second server for it costs more.
+        return first if a <= b or (request.group and request.has_roomy_pair) else second
+
+    def _is_crowded(self, server: Server, key: str, mean: float) -> bool:
+        """Tell whether a server is too loaded for more connections with this key; ``mean`` is the fleet's mean load."""
+        utilisation = self.utilisation(server)
+        if utilisation is not None and (utilisation > GROUP_MAX_UTILISATION or self.unit_capacity):
+            return utilisation > self.group_limit
         load = self._own_load(server)
-        full = 0 < KEEP_UNDER * server.limit < load
-        # Guards against a gateway just started that fills one server with a group before it has a report.
-        blind = self.settings.may_probe and load > TOGETHER * self._mean_charge()
-        return full or ((blind or key not in server.groups) and load / server.weight > STAY_RATIO * mean)
+        near_slow_load = 0 < SLOW_LOAD_SHARE * server.slow_load < load
+        # A relay that has just started has no reports yet, and could fill one server with a group before the first.
+        unreported = self.settings.may_probe and load > UNREPORTED_GROUP_CONNECTIONS * self._mean_load()
+        return near_slow_load or (
+            (unreported or key not in server.groups) and load / server.weight > MAX_LOAD_RATIO * mean
+        )
 
     # Attempts
 
-    def _flight(self, event: api.Request | api.OpenConnection, deadline: int) -> Flight:
+    def _track_request(self, event: api.Request | api.OpenConnection, deadline: int) -> RequestState:
         group = event.group if self.settings.groups else ""
-        tenant = event.tenant if event.tenant < len(self.tenant_open) else 0
-        cell = (event.request_class, self._over_share(tenant))
-        flight = Flight(
+        tenant = event.tenant if event.tenant < len(self.tenant_connections) else 0
+        bucket = (event.request_class, self._is_over_share(tenant))
+        request = RequestState(
             event.request,
             event.request_class,
             group or event.key or event.request,
-            cell,
+            bucket,
             tenant,
             deadline,
             group,
             load=event.load_hint,
-            since=self.now,
+            arrived_at=self.now,
         )
-        self.flights[flight.id] = flight
-        return flight
+        self.requests[request.id] = request
+        return request
 
-    def _request(self, event: api.Request) -> None:
-        if event.request in self.flights:
+    def _on_request(self, event: api.Request) -> None:
+        if event.request in self.requests:
             return
-        flight = self._flight(event, event.deadline)
-        flight.returning = event.returning
-        # Guards against many gateways probing for few clients: requests pay, returning ones for placing.
-        most = (PROBE_KEPT if event.returning else PROBE_BURST) * self.settings.may_probe
-        worth = PROBE_COST / self.settings.probe_price if self.settings.probe_price else PROBE_BURST
-        self.probes = max(self.probes, min(most, self.probes + worth))
+        request = self._track_request(event, event.deadline)
+        request.returning = event.returning
+        # Each request pays for probes, so that many relays with few clients do not probe all the time; returning
+        # clients pay only for the probes that are kept for placement.
+        limit = (PLACEMENT_PROBE_RESERVE if event.returning else MAX_SAVED_PROBES) * self.settings.may_probe
+        earned = PROBE_POINTS_PER_REQUEST / self.settings.probe_price if self.settings.probe_price else MAX_SAVED_PROBES
+        self.probe_tokens = max(self.probe_tokens, min(limit, self.probe_tokens + earned))
         if event.mid_flow:
             if ready := [s for s in self.live if s.suspect_until <= self.now] or self.live:
-                self._send(flight, rendezvous(flight.place_key, ready)[0])
+                self._send(request, rendezvous(request.placement_key, ready)[0])
                 return
-        elif event.returning and self._by_share() and self.ladder.rung < RUNGS - 1:
-            if self.random.random() >= self.ladder.shares[flight.cell]:
-                self._refuse(flight, "ladder, by share")
+        elif event.returning and self._polices_by_share() and self.ladder.rung < RUNGS - 1:
+            if self.random.random() >= self.ladder.shares[request.bucket]:
+                self._refuse(request, "ladder, by share")
                 return
-        elif not self.ladder.admit(self.now, flight.cell):
-            self._refuse(flight, "ladder, by rate")
+        elif not self.ladder.admit(self.now, request.bucket):
+            self._refuse(request, "ladder, by rate")
             return
-        self._place(flight)
+        self._place(request)
 
-    def _by_share(self) -> bool:
-        # Guards against a restart, or a rate of a few set-ups, that turns away whoever stood before.
-        few = 0 < sum(self.ladder.estimate.values()) * ESTIMATE_WINDOW < FEW * SECOND
-        return few or (not self.adopted and self.now - self.started < ESTIMATE_WINDOW)
+    def _polices_by_share(self) -> bool:
+        """Tell whether returning clients are admitted by their bucket's share instead of its rate."""
+        # After a restart, or with a rate of a few set-ups, the buckets would turn away clients that were connected
+        # before.
+        few = 0 < sum(self.ladder.estimate.values()) * ESTIMATE_WINDOW_NS < MIN_SET_UPS_FOR_RATE * SECOND
+        return few or (not self.took_over_open and self.now - self.started < ESTIMATE_WINDOW_NS)
 
-    def _over_share(self, tenant: int) -> bool:
+    def _is_over_share(self, tenant: int) -> bool:
         quota = self.settings.tenants[tenant].open_connections if self.settings.tenants else 0.0
-        return 0 < quota < self.tenant_open[tenant] * self.settings.siblings
+        return 0 < quota < self.tenant_connections[tenant] * self.settings.siblings
 
-    def _allowed(self, flight: Flight, server: Server) -> bool:
-        cls = self.settings.classes[flight.cls]
+    def _may_send(self, request: RequestState, server: Server) -> bool:
+        """Tell whether an attempt at this server can't make the request take effect twice."""
+        cls = self.settings.classes[request.class_index]
         if cls.semantics is api.Semantics.REPEATABLE:
             return True
-        for attempt in flight.attempts:
-            if attempt.result in _NEVER_RAN:
+        for attempt in request.attempts:
+            if attempt.result in _NOT_EXECUTED:
                 continue
-            elsewhere = (cls.scope is api.Scope.ZONE and attempt.server.zone != server.zone) or (
-                cls.scope is api.Scope.CELL and attempt.server.stripe != server.stripe
+            out_of_scope = (cls.scope is api.Scope.ZONE and attempt.server.zone != server.zone) or (
+                cls.scope is api.Scope.CELL and attempt.server.cell != server.cell
             )
-            if elsewhere or cls.semantics is api.Semantics.ONCE or self.now >= attempt.sent + cls.window:
+            if out_of_scope or cls.semantics is api.Semantics.ONCE or self.now >= attempt.sent_at + cls.window:
                 return False
         return True
 
-    def _place(self, flight: Flight) -> None:
-        # Guards against a dead gateway's clients all coming at once: more than a shared store can take.
-        pair = self._pair(flight, self._ready(flight)) if self.pending < int(self.window) else []
-        if pair and not self._awaits_slot(flight, pair[0]) and not self._asks(flight, pair):
-            self._send(flight, self._choose(flight, pair))
-        elif not pair and flight.deadline - self.now <= self.set_up_time + 2 * TICK:
-            self._give_up(flight, "no server in time")  # guards against holding a repeat until after its time
+    def _place(self, request: RequestState) -> None:
+        """Send a request to a server, hold it, or end it if no server will be found in time."""
+        # The limit on set-ups under way spreads the clients of a dead relay, which all return at once, to what a store
+        # shared by the servers can take.
+        pair = self._top_two(request, self._candidates(request)) if self.pending < int(self.set_up_limit) else []
+        if pair and not self._waits_for_slot(request, pair[0]) and not self._waits_for_reports(request, pair):
+            self._send(request, self._choose(request, pair))
+        elif not pair and request.deadline - self.now <= self.set_up_time + 2 * TICK_NS:
+            self._give_up(request, "no server in time")  # held any longer, it would miss its deadline
         else:
-            self.held[flight.id] = flight
-
-    def _asks(self, flight: Flight, pair: list[Server]) -> bool:
-        # Guards against placing by old reports: a gateway hears seldom of most servers.
-        stale = [s for s in pair if s.reported < 0 or self.now - s.reported_at > FRESH]
-        waited = self.now >= min((flight.asked_at or self.now) + PATIENCE, flight.deadline - 2 * PATIENCE)
-        if not self.settings.may_probe or waited or len(self.held) > WAITING:
+            self.held[request.id] = request
+
+    def _waits_for_reports(self, request: RequestState, pair: list[Server]) -> bool:
+        """Probe servers without a fresh report, and tell whether to wait for the results before placing."""
+        # One relay seldom gets reports of most servers, and must not place by old ones.
+        stale = [s for s in pair if s.reported_utilisation < 0 or self.now - s.reported_at > FRESH_REPORT_AGE_NS]
+        waited = self.now >= min(
+            (request.reports_requested_at or self.now) + REPORT_WAIT_NS, request.deadline - 2 * REPORT_WAIT_NS
+        )
+        if not self.settings.may_probe or waited or len(self.held) > MAX_WAITING_REQUESTS:
             return False
-        self._probe([s for s in stale if self.now - s.asked_at > FRESH])
-        if (waits := any(s.probe_out for s in stale)) and not flight.asked_at:
-            flight.asked_at = self.now
-            self.out.append(api.SetTimer(PATIENCE, 1))
+        self._probe([s for s in stale if self.now - s.probed_at > FRESH_REPORT_AGE_NS])
+        if (waits := any(s.probe_pending for s in stale)) and not request.reports_requested_at:
+            request.reports_requested_at = self.now
+            self.actions.append(api.SetTimer(REPORT_WAIT_NS, 1))
         return waits
 
-    def _send(self, flight: Flight, server: Server) -> None:
-        # Guards against repeats of many gateways filling a shared store that is only slow: time-outs double.
-        patience = max(self.settings.classes[flight.cls].aim, int(TIMEOUT_FACTOR * self.set_up_time))
-        timeout = min(flight.deadline - self.now, patience << len(flight.attempts))
-        flight.attempts.append(Attempt(server, self.now))
-        self.held.pop(flight.id, None)
+    def _send(self, request: RequestState, server: Server) -> None:
+        # The time-out doubles with each attempt: repeats by many relays would otherwise fill a shared store that is
+        # only slow.
+        first_timeout = max(
+            self.settings.classes[request.class_index].aim, int(FIRST_TIMEOUT_FACTOR * self.set_up_time)
+        )
+        timeout = min(request.deadline - self.now, first_timeout << len(request.attempts))
+        request.attempts.append(Attempt(server, self.now))
+        self.held.pop(request.id, None)
         server.pending += 1
         self.pending += 1
-        self._attach(server, flight)
-        del server.slots.open[:1]
-        self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
-        self.out.append(api.Send(flight.id, server.id, max(1, timeout)))
-
-    def _established(self, event: api.Established) -> None:
-        flight = self.flights.get(event.request)
-        if flight is None or flight.opened or event.attempt != len(flight.attempts) - 1:
+        self._attach(server, request)
+        del server.slots.open_until[:1]
+        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_SHARE)
+        self.actions.append(api.Send(request.id, server.id, max(1, timeout)))
+
+    def _on_established(self, event: api.Established) -> None:
+        request = self.requests.get(event.request)
+        if request is None or request.established or event.attempt != len(request.attempts) - 1:
             return
-        server = flight.attempts[-1].server
-        flight.opened = True
+        server = request.attempts[-1].server
+        request.established = True
         server.pending -= 1
         self.pending -= 1
-        self.window += 1 / self.window
-        server.strikes, server.suspect_until, server.doubted = 0, 0, False
-        self.tenant_open[flight.tenant] += 1
+        self.set_up_limit += 1 / self.set_up_limit
+        server.failures, server.suspect_until, server.last_set_up_failed = 0, 0, False
+        self.tenant_connections[request.tenant] += 1
         self.set_up_time += (event.elapsed - self.set_up_time) * (0.1 if self.set_up_time else 1.0)
-        # Guards against an estimate blown up by clients that come back after a break: no new demand.
-        if not flight.returning:
-            self.ladder.accepted[flight.cell] += 1
-        self._retry_held()
-
-    def _outcome(self, event: api.Outcome) -> None:
-        flight = self.flights.get(event.request)
-        tried = flight.attempts if flight else []
-        if flight is None or not 0 <= event.attempt < len(tried) or tried[event.attempt].result is not None:
+        # Clients that return after a break are no new demand, and would inflate the estimate.
+        if not request.returning:
+            self.ladder.accepted[request.bucket] += 1
+        self._place_held()
+
+    def _on_outcome(self, event: api.Outcome) -> None:
+        request = self.requests.get(event.request)
+        tried = request.attempts if request else []
+        if request is None or not 0 <= event.attempt < len(tried) or tried[event.attempt].result is not None:
             return
         tried[event.attempt].result, server = event.result, tried[event.attempt].server
-        self._report(server, event.report)
-        self._detach(server, flight)
-        if not flight.opened:
+        self._record_report(server, event.report)
+        self._detach(server, request)
+        if not request.established:
             server.pending -= 1
             self.pending -= 1
         if event.result in _SERVER_FAULTS:
-            # Guards against a sound server left out for a connection that broke alone: its others stand.
-            if flight.opened:
-                alone = self.now - server.broke_at > SECOND
-                server.broke_at = self.now
+            # One connection that breaks alone while the server's others stay open is no reason to avoid the server.
+            if request.established:
+                alone = self.now - server.connection_broke_at > SECOND
+                server.connection_broke_at = self.now
             else:
-                alone = event.result in (api.Result.CONNECT_FAILED, api.Result.RESET) and not server.doubted
-                alone = alone and any(f.opened for f in server.open.values())
-                server.doubted = True
-                self.window = max(self.least_window, self.window / 2)
+                alone = event.result in (api.Result.CONNECT_FAILED, api.Result.RESET) and not server.last_set_up_failed
+                alone = alone and any(r.established for r in server.connections.values())
+                server.last_set_up_failed = True
+                self.set_up_limit = max(self.min_set_up_limit, self.set_up_limit / 2)
             if not alone:
-                self._strike(server)
-        if flight.opened and not flight.answered and event.result is api.Result.CANCELLED:
-            self._sent_away(server)
-        if flight.opened or event.last or flight.answered:
-            self._drop(flight)
+                self._record_failure(server)
+        if request.established and not request.answered and event.result is api.Result.CANCELLED:
+            self._record_sent_away(server)
+        if request.established or event.last or request.answered:
+            self._drop(request)
         else:
-            self._again(flight)
-        self._retry_held()
-
-    def _sent_away(self, server: Server) -> None:
-        # Guards against clients sent back to a draining server: the list tells of it only seconds later.
-        server.sent_away = [at for at in server.sent_away if at > self.now - SECOND] + [self.now]
-        # Clients also leave by themselves; half of all in a second do not.
-        if len(server.sent_away) >= max(DRAIN_SIGN, len(server.open)):
-            server.drains_until = self.now + DRAIN_TOLD
-
-    def _again(self, flight: Flight) -> None:
-        spent = len(flight.attempts) >= self.settings.max_attempts or self.retries < 1
-        barred = not any(self._allowed(flight, s) for s in self.live)
-        if spent or barred or flight.deadline - self.now <= self.set_up_time:
-            self._give_up(flight, "retries spent" if spent else "no time to retry")
+            self._retry(request)
+        self._place_held()
+
+    def _record_sent_away(self, server: Server) -> None:
+        """Note that a server closed a connection gracefully; count it as draining if it closed many."""
+        # The list tells of a drain only seconds later, and until then clients would be sent back to the server.
+        server.sent_away_at = [at for at in server.sent_away_at if at > self.now - SECOND] + [self.now]
+        # Clients also leave by themselves, but not half of all within a second.
+        if len(server.sent_away_at) >= max(DRAIN_MIN_SENT_AWAY, len(server.connections)):
+            server.assumed_draining_until = self.now + ASSUMED_DRAIN_NS
+
+    def _retry(self, request: RequestState) -> None:
+        """Start another attempt after a failed one, or give up."""
+        spent = len(request.attempts) >= self.settings.max_attempts or self.retry_tokens < 1
+        barred = not any(self._may_send(request, s) for s in self.live)
+        if spent or barred or request.deadline - self.now <= self.set_up_time:
+            self._give_up(request, "retries spent" if spent else "no time to retry")
         else:
-            self.retries -= 1
-            self._place(flight)
+            self.retry_tokens -= 1
+            self._place(request)
 
-    def _give_up(self, flight: Flight, why: str) -> None:
-        cls = self.settings.classes[flight.cls]
+    def _give_up(self, request: RequestState, why: str) -> None:
+        """Refuse a request if trying it again does no harm, else fail it."""
+        cls = self.settings.classes[request.class_index]
         harmless = cls.semantics is api.Semantics.REPEATABLE
         harmless |= (cls.semantics, cls.scope) == (api.Semantics.KEYED, api.Scope.ALL)
-        if harmless or all(a.result in _NEVER_RAN for a in flight.attempts):
-            self._refuse(flight, why)
+        if harmless or all(a.result in _NOT_EXECUTED for a in request.attempts):
+            self._refuse(request, why)
         else:
-            self.out.append(api.Fail(flight.id, why))
-            self._drop(flight)
+            self.actions.append(api.Fail(request.id, why))
+            self._drop(request)
 
-    def _refuse(self, flight: Flight, why: str) -> None:
-        self.out.append(api.Refuse(flight.id, min(self.settings.retry_after_max, INTERVAL), why))
-        self._drop(flight)
+    def _refuse(self, request: RequestState, why: str) -> None:
+        self.actions.append(api.Refuse(request.id, min(self.settings.retry_after_max, LADDER_INTERVAL_NS), why))
+        self._drop(request)
 
-    def _drop(self, flight: Flight) -> None:
-        flight.answered = True
-        self.flights.pop(flight.id, None)
-        self.held.pop(flight.id, None)
+    def _drop(self, request: RequestState) -> None:
+        request.answered = True
+        self.requests.pop(request.id, None)
+        self.held.pop(request.id, None)
 
-    def _client_gone(self, event: api.ClientGone) -> None:
-        if (flight := self.flights.get(event.request)) is None:
+    def _on_client_gone(self, event: api.ClientGone) -> None:
+        if (request := self.requests.get(event.request)) is None:
             return
-        flight.answered = True
-        self.held.pop(flight.id, None)
-        if not flight.attempts or flight.attempts[-1].result is not None:
-            self._drop(flight)
-        elif self.settings.may_cancel and not flight.opened:
-            self.out.append(api.Cancel(flight.id, len(flight.attempts) - 1))
-
-    def _adopt(self, event: api.OpenConnection) -> None:
-        if event.request in self.flights:
+        request.answered = True
+        self.held.pop(request.id, None)
+        if not request.attempts or request.attempts[-1].result is not None:
+            self._drop(request)
+        elif self.settings.may_cancel and not request.established:
+            self.actions.append(api.Cancel(request.id, len(request.attempts) - 1))
+
+    def _on_open_connection(self, event: api.OpenConnection) -> None:
+        if event.request in self.requests:
             return
         if (server := self.servers.get(event.server)) is None:
-            server = self._meet(event.server)
+            server = self._add_server(event.server)
             server.state = api.ServerState.GONE
-        self.adopted |= not event.inherited
-        flight = self._flight(event, 0)
-        flight.attempts.append(Attempt(server, self.now))
-        flight.opened = True
-        self.tenant_open[flight.tenant] += 1
-        self._attach(server, flight)
-
-    def _retry_held(self, most: int = 1) -> None:
-        for flight in list(islice(self.held.values(), most)):
-            self._place(flight)
+        self.took_over_open |= not event.inherited
+        request = self._track_request(event, 0)
+        request.attempts.append(Attempt(server, self.now))
+        request.established = True
+        self.tenant_connections[request.tenant] += 1
+        self._attach(server, request)
+
+    def _place_held(self, limit: int = 1) -> None:
+        """Try again to place the requests held longest, up to ``limit`` of them."""
+        for request in list(islice(self.held.values(), limit)):
+            self._place(request)
 
     # Probes, moves and the clock
 
-    def _probed(self, event: api.ProbeResult) -> None:
+    def _on_probe_result(self, event: api.ProbeResult) -> None:
         if (server := self.servers.get(event.server)) is None:
             return
-        server.probe_out = False
-        self._report(server, event.report)
+        server.probe_pending = False
+        self._record_report(server, event.report)
         if event.result in (api.Result.TIMEOUT, api.Result.CONNECT_FAILED):
-            self._strike(server)
-        self._retry_held(WAITING)
+            self._record_failure(server)
+        self._place_held(MAX_WAITING_REQUESTS)
 
-    def _tick(self, event: api.Timer) -> None:
-        self._retry_held(WAITING if event.token else len(self.held))
+    def _on_timer(self, event: api.Timer) -> None:
+        """Place held requests; token 0 is the tick, any other a wait for reports or slots."""
+        self._place_held(MAX_WAITING_REQUESTS if event.token else len(self.held))
         if event.token:
             return
-        self.out.append(api.SetTimer(TICK, 0))
-        if self.watch_at and self.now >= self.watch_at:
-            self.watch_at = 0
-            self.out.append(api.Watch())
-        for server in self.known.values():
-            server.past = [*server.past[1 - REPORT_AGE :], self._own_load(server)]
-        if self.probes >= 1 + PROBE_KEPT:
-            due = sorted((s for s in self.live if s.probe_at <= self.now), key=lambda s: s.probe_at)
-            self._probe(due, PROBE_KEPT)
-        self.bound = max(STAY_UNDER, BOUND * self.ladder.last_index / 100)
-        self._sample()
-        self._empty()
-        self._move()
-        if self.now >= self.step_at:
-            self.step_at = self.now + INTERVAL
-            self._learn_load(INTERVAL)
-            if self.ladder.step(self.now, [self._charge(c) for c in range(len(self.settings.classes))]):
+        self.actions.append(api.SetTimer(TICK_NS, 0))
+        if self.next_watch_at and self.now >= self.next_watch_at:
+            self.next_watch_at = 0
+            self.actions.append(api.Watch())
+        for server in self.tracked.values():
+            server.past_loads = [*server.past_loads[1 - REPORT_AGE_TICKS :], self._own_load(server)]
+        if self.probe_tokens >= 1 + PLACEMENT_PROBE_RESERVE:
+            due = sorted((s for s in self.live if s.next_probe_at <= self.now), key=lambda s: s.next_probe_at)
+            self._probe(due, PLACEMENT_PROBE_RESERVE)
+        self.group_limit = max(GROUP_MAX_UTILISATION, GROUP_MEAN_FACTOR * self.ladder.last_index / 100)
+        self._sample_index()
+        self._move_from_draining()
+        self._move_from_saturated()
+        if self.now >= self.next_step_at:
+            self.next_step_at = self.now + LADDER_INTERVAL_NS
+            self._update_cold_start(LADDER_INTERVAL_NS)
+            if self.ladder.step(self.now, [self._class_load(c) for c in range(len(self.settings.classes))]):
                 severe = ", severely overloaded: refusing all" * (self.ladder.rung == RUNGS - 1)
-                self.out.append(api.Log(f"ladder on rung {self.ladder.rung}{severe}"))
+                self.actions.append(api.Log(f"ladder on rung {self.ladder.rung}{severe}"))
 
-    def _probe(self, servers: list[Server], kept: float = 0.0) -> None:
-        """Probe these servers, as far as probes are left but for those that are kept."""
+    def _probe(self, servers: list[Server], reserve: float = 0.0) -> None:
+        """Probe these servers in order while more than ``reserve`` probe tokens are left."""
         for server in servers:
-            if not server.probe_out and self.probes >= 1 + kept:
-                self.probes -= 1
-                server.probe_at = self.now + int(PROBE_PERIOD * self.random.uniform(0.8, 1.2))
-                server.probe_out, server.asked_at = True, self.now
-                self.out.append(api.Probe(server.id))
-
-    def _sample(self) -> None:
-        # Guards against refusing for servers that take nothing new anyway: the index is of the ready ones.
-        ready = [s for s in self.known.values() if s.state is api.ServerState.LIVE and not self._suspect(s)]
-        if known := [min(1.0, u) for s in ready if (u := self.utilisation(s)) is not None]:
-            self.ladder.sample(100 * sum(known) / len(known))
+            if not server.probe_pending and self.probe_tokens >= 1 + reserve:
+                self.probe_tokens -= 1
+                server.next_probe_at = self.now + int(PROBE_INTERVAL_NS * self.random.uniform(0.8, 1.2))
+                server.probe_pending, server.probed_at = True, self.now
+                self.actions.append(api.Probe(server.id))
+
+    def _sample_index(self) -> None:
+        """Give the ladder a reading of the load index."""
+        # The index covers only servers that take new connections: the load of others is no reason to refuse.
+        ready = [s for s in self.tracked.values() if s.state is api.ServerState.LIVE and not self._is_suspect(s)]
+        if utilisations := [min(1.0, u) for s in ready if (u := self.utilisation(s)) is not None]:
+            self.ladder.sample(100 * sum(utilisations) / len(utilisations))
             return
-        # Guards against overload that set-ups do not show: they succeed while open connections earn nothing.
-        if held := sum(self._own_load(s) for s in self.known.values()):
-            slow = sum(self._own_load(s) for s in self.known.values() if self._saturated(s))
-            self.ladder.sample(100 * SLOW_SCALE * slow / held)
-
-    def _empty(self) -> None:
-        # Guards against clients cut off without a word: a server may leave without sending them away.
-        for server, told in list(self.draining.items()):
-            if server.state is not api.ServerState.DRAINING or not server.open:
+        # Without reports, take the share of load on saturated servers: set-ups do not show overload, as they succeed
+        # while open connections earn nothing.
+        if load := sum(self._own_load(s) for s in self.tracked.values()):
+            saturated = sum(self._own_load(s) for s in self.tracked.values() if self._is_saturated(s))
+            self.ladder.sample(100 * SLOW_LOAD_SCALE * saturated / load)
+
+    def _move_from_draining(self) -> None:
+        """Move the clients of draining servers once the grace time is over."""
+        # A server may leave without sending its clients away, which would cut them off without notice.
+        for server, since in list(self.draining.items()):
+            if server.state is not api.ServerState.DRAINING or not server.connections:
                 del self.draining[server]
-            elif self.now - told >= DRAIN_WAIT:
-                for flight in [f for f in server.open.values() if f.opened and not f.answered]:
-                    flight.answered = True
-                    self.out.append(api.Move(flight.id, "draining"))
-
-    def _move(self) -> None:
-        """Have saturated servers lose groups, the same ones at every gateway, a few connections at a time."""
-        saturated = sum(1 for s in self.known.values() if self._saturated(s))
-        calm = self.ladder.rung == 0 and 3 * saturated <= len(self.known)
-        for server in list(self.known.values()):
-            if not self._saturated(server) or server.state is not api.ServerState.LIVE:
-                server.troubled_since, server.leaving = 0, frozenset()
-                silent = not server.open and self.utilisation(server) is None
-                if silent or server.state is not api.ServerState.LIVE:
-                    self.known.pop(server.id).past = []
+            elif self.now - since >= DRAIN_GRACE_NS:
+                for request in [r for r in server.connections.values() if r.established and not r.answered]:
+                    request.answered = True
+                    self.actions.append(api.Move(request.id, "draining"))
+
+    def _move_from_saturated(self) -> None:
+        """Move groups away from saturated servers, the same ones at every relay, a few connections a tick."""
+        saturated = sum(1 for s in self.tracked.values() if self._is_saturated(s))
+        calm = self.ladder.rung == 0 and 3 * saturated <= len(self.tracked)
+        for server in list(self.tracked.values()):
+            if not self._is_saturated(server) or server.state is not api.ServerState.LIVE:
+                server.saturated_since, server.leaving_groups = 0, frozenset()
+                unused = not server.connections and self.utilisation(server) is None
+                if unused or server.state is not api.ServerState.LIVE:
+                    self.tracked.pop(server.id).past_loads = []
                 continue
-            server.troubled_since = server.troubled_since or self.now
-            asked = self.utilisation(server)
-            hung = server.delay >= HUNG and self.now - server.delay_at < NEWS_LASTS
+            server.saturated_since = server.saturated_since or self.now
+            utilisation = self.utilisation(server)
+            hung = (
+                server.message_delay_ms >= HUNG_DELAY_MS
+                and self.now - server.message_delay_at < OBSERVATION_LIFETIME_NS
+            )
             if hung and server.suspect_until <= self.now:
-                self._strike(server)
-            opened = [f for f in server.open.values() if f.opened and not f.answered]
-            why, going = "", list[Flight]()
-            if asked is not None or 2 * saturated <= len(self.known):
-                trouble = LOSE_SHARE * (self.now - server.troubled_since) / SECOND
+                self._record_failure(server)
+            movable = [r for r in server.connections.values() if r.established and not r.answered]
+            why, chosen = "", list[RequestState]()
+            if utilisation is not None or 2 * saturated <= len(self.tracked):
+                share = GROUP_LOSS_PER_S * (self.now - server.saturated_since) / SECOND
                 if calm:
-                    # Guards against clients that earn nothing while a backlog is worked off only slowly.
-                    trouble = max(trouble, 1 - max(0.2, 0.8 - server.delay / DRAINED) / (asked or 1.0))
-                excess = max(trouble, 1 - 0.8 / asked) if asked and asked > 1 else trouble
-                # Guards against a group's cost paid for a straggler: the least held goes first.
-                worst = sorted(own := server.groups, key=lambda g: (own[g], mixed(digest(g), server.number)))
-                server.leaving = frozenset(worst[: math.ceil(len(worst) * min(1.0, excess))])
-                leaving = (f for f in opened if f.place_key in server.leaving and self._has_room(f, server))
-                why, most = "asked too much", self._some(len(opened) * (CALM_SHARE if calm else MOVE_SHARE))
-                going = list(islice(leaving, most))
-            if not going and self.ladder.rung > 0:
-                # Guards against overload that outlives the ladder's refusals: long-lived connections stay on.
-                opened.sort(key=lambda f: self.ladder.worths[f.cell] / (f.load or self._charge(f.cls)))
-                why, going = "shed", opened[: self._some(len(opened) * SHED_SHARE)]
+                    # The longer the backlog, the more to move: clients earn nothing while it is worked off only slowly.
+                    share = max(
+                        share, 1 - max(0.2, 0.8 - server.message_delay_ms / BACKLOG_DRAIN_MS) / (utilisation or 1.0)
+                    )
+                excess = max(share, 1 - 0.8 / utilisation) if utilisation and utilisation > 1 else share
+                # The groups with the fewest connections here go first: moving a group costs the same whatever its size.
+                by_size = sorted(sizes := server.groups, key=lambda g: (sizes[g], pair_hash(digest(g), server.digest)))
+                server.leaving_groups = frozenset(by_size[: math.ceil(len(by_size) * min(1.0, excess))])
+                leaving = (
+                    r
+                    for r in movable
+                    if r.placement_key in server.leaving_groups and self._has_room_elsewhere(r, server)
+                )
+                why, limit = (
+                    "asked too much",
+                    self._round_at_random(len(movable) * (CALM_MOVE_SHARE_PER_TICK if calm else MOVE_SHARE_PER_TICK)),
+                )
+                chosen = list(islice(leaving, limit))
+            if not chosen and self.ladder.rung > 0:
+                # Refusals alone do not end an overload, as long-lived connections stay: cut those of the least worth
+                # for their load.
+                movable.sort(key=lambda r: self.ladder.worths[r.bucket] / (r.load or self._class_load(r.class_index)))
+                why, chosen = "shed", movable[: self._round_at_random(len(movable) * SHED_SHARE_PER_TICK)]
             if hung:
-                # Guards against clients left for seconds at a server that answers nothing.
-                why, going = "hung", opened[: math.ceil(len(opened) * HUNG_SHARE)]
-            for flight in going:
-                flight.answered = True
-                self.out.append(api.Move(flight.id, why))
-
-    def _some(self, count: float) -> int:
-        # Guards against many gateways with few connections each all rounding up: half of them went in a tick.
+                # Clients would otherwise stay for seconds at a server that answers nothing.
+                why, chosen = "hung", movable[: math.ceil(len(movable) * HUNG_MOVE_SHARE_PER_TICK)]
+            for request in chosen:
+                request.answered = True
+                self.actions.append(api.Move(request.id, why))
+
+    def _round_at_random(self, count: float) -> int:
+        """Round down or up at random, so that the mean is ``count``."""
+        # With rounding up, many relays with few connections each would move half of all connections in one tick.
         return int(count + self.random.random())
 
-    def _has_room(self, flight: Flight, leaves: Server) -> bool:
-        pair = self._pair(flight, self._ready(flight))
-        target = self._choose(flight, pair) if pair else leaves
-        bad = target is leaves or self._saturated(target)
-        return not bad and (self.utilisation(target) or 0.0) <= STAY_UNDER
+    def _has_room_elsewhere(self, request: RequestState, leaves: Server) -> bool:
+        """Tell whether a request that leaves a server would now go to one with room."""
+        pair = self._top_two(request, self._candidates(request))
+        target = self._choose(request, pair) if pair else leaves
+        unfit = target is leaves or self._is_saturated(target)
+        return not unfit and (self.utilisation(target) or 0.0) <= GROUP_MAX_UTILISATION
 
 
-_NEVER_RAN = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
+# Results after which the request has certainly not run at the server
+_NOT_EXECUTED = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
 _SERVER_FAULTS = frozenset(api.Result) - {api.Result.OK, api.Result.CANCELLED, api.Result.NOT_SENT}
--- a/tests/lab_broken.py
+++ b/tests/lab_broken.py
@@ -11,11 +11,11 @@
     HEAD
     + """
 class Balancer(Sound):
-    def _again(self, flight):
+    def _retry(self, flight):
         if flight.attempts[-1].result is api.Result.RESET:
             self._drop(flight)  # forgotten: nobody answers its client
         else:
-            super()._again(flight)
+            super()._retry(flight)
 """
 )
 
@@ -23,8 +23,8 @@
     HEAD
     + """
 class Balancer(Sound):
-    def _membership(self, event):
-        super()._membership(event)
+    def _on_membership(self, event):
+        super()._on_membership(event)
         if event.kind is api.MembershipKind.FULL:
             for server in self.servers.values():
                 server.started = 0  # a list read again: all seem warm
@@ -35,11 +35,11 @@
     HEAD
     + """
 class Balancer(Sound):
-    def _tick(self, event):
-        super()._tick(event)
-        for flight in list(self.flights.values()):
-            waits = flight.attempts and flight.attempts[-1].result is None and not flight.opened
-            if waits and self.now - flight.attempts[-1].sent > 100_000_000 and len(self.live) > 1:
+    def _on_timer(self, event):
+        super()._on_timer(event)
+        for flight in list(self.requests.values()):
+            waits = flight.attempts and flight.attempts[-1].result is None and not flight.established
+            if waits and self.now - flight.attempts[-1].sent_at > 100_000_000 and len(self.live) > 1:
                 self._send(flight, [s for s in self.live if s is not flight.attempts[-1].server][0])
 """
 )
@@ -50,7 +50,7 @@
 class Balancer(Sound):
     def _refuse(self, flight, why):
         super()._refuse(flight, why)
-        self.out.append(api.Fail(flight.id, why))
+        self.actions.append(api.Fail(flight.id, why))
 """
 )
 
@@ -58,8 +58,8 @@
     HEAD
     + """
 class Balancer(Sound):
-    def _membership(self, event):
-        super()._membership(event)
+    def _on_membership(self, event):
+        super()._on_membership(event)
         self.live = [s for s in self.servers.values() if s.state is not api.ServerState.GONE]
 """
 )
@@ -68,7 +68,7 @@
     HEAD
     + """
 class Balancer(Sound):
-    def _probed(self, event):
+    def _on_probe_result(self, event):
         raise ZeroDivisionError("on purpose")
 """
 )
@@ -86,8 +86,8 @@
     HEAD
     + """
 class Balancer(Sound):
-    def _again(self, flight):
-        if flight.deadline - self.now > 0 and self._ready(flight):
+    def _retry(self, flight):
+        if flight.deadline - self.now > 0 and self._candidates(flight):
             self._place(flight)
         else:
             self._give_up(flight, "late")
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -12,7 +12,7 @@
 from sites import SITES, Site
 
 from scaledeal import interface as api
-from scaledeal.policy import Balancer, Server, digest, mixed, rendezvous
+from scaledeal.policy import Balancer, Server, digest, pair_hash, rendezvous
 from scaledeal.settings import Document
 
 REPORTS = replace(
@@ -71,12 +71,12 @@
     for number in range(5):
         driver.event(api.OpenConnection(f"old-{number}", 0, far, group="map", inherited=True))
         driver.event(api.Note(f"old-{number}", 0, far, api.NoteKind.LOAD, 900.0))
-    assert not driver.balancer.adopted, "clients that come back are let in as after a restart"
+    assert not driver.balancer.took_over_open, "clients that come back are let in as after a restart"
     driver.arrive("r", key="x", group="map")
     assert driver.server_of("r") == far
-    assert driver.balancer.unit == 0.0
+    assert driver.balancer.unit_capacity == 0.0
     report(driver, **{far: 0.5})
-    assert driver.balancer.unit, "the capacity is learned from the first report on"
+    assert driver.balancer.unit_capacity, "the capacity is learned from the first report on"
 
 
 def test_a_slow_server_is_not_filled_as_if_it_were_like_the_others():
@@ -94,27 +94,27 @@
     grew = {name: balancer.utilisation(balancer.servers[name]) - was for name, was in before.items()}
     assert grew["s0"] > 2 * grew["s1"] > 0
     # Guards against a server that looks fast, for few connections, being trusted with more than most can do.
-    assert grew["s1"] >= 5 * 1000.0 / balancer.unit * 0.99
+    assert grew["s1"] >= 5 * 1000.0 / balancer.unit_capacity * 0.99
 
 
 def test_out_of_rotation_are_those_that_no_new_connection_goes_to():
     driver = Driver(REPORTS, servers=4)
-    assert driver.balancer.rotation() == (4, 0)
+    assert driver.balancer.rotation_counts() == (4, 0)
     driver.event(api.ProbeResult("s0", api.Result.TIMEOUT, MS))
-    assert driver.balancer.rotation() == (4, 1)
+    assert driver.balancer.rotation_counts() == (4, 1)
     driver.members(api.MembershipKind.CHANGES, entries(2, state=api.ServerState.DRAINING)[1:])
-    assert driver.balancer.rotation() == (4, 2), "one is suspected, one drains"
+    assert driver.balancer.rotation_counts() == (4, 2), "one is suspected, one drains"
     new = api.ServerEntry("s9", started=driver.now)
     driver.members(api.MembershipKind.CHANGES, (new,))
-    assert driver.balancer.rotation() == (5, 3), "cold, and no estimate yet of what it can take"
+    assert driver.balancer.rotation_counts() == (5, 3), "cold, and no estimate yet of what it can take"
     used = {driver.server_of(name) for name in fill(driver, 30)}
     assert used == {"s2", "s3"}
     driver.members(api.MembershipKind.CHANGES, (api.ServerEntry("s1", state=api.ServerState.GONE),))
-    assert driver.balancer.rotation() == (4, 2)
+    assert driver.balancer.rotation_counts() == (4, 2)
     for name in ("s2", "s3", "s9"):
         driver.members(api.MembershipKind.CHANGES, (api.ServerEntry(name, state=api.ServerState.GONE),))
     # Guards against a figure that says all are avoided while the last suspect serves.
-    assert driver.balancer.rotation() == (1, 0)
+    assert driver.balancer.rotation_counts() == (1, 0)
 
 
 def test_a_mid_flow_connection_goes_to_its_top_server_unchecked():
@@ -313,8 +313,8 @@
     settings = replace(BASE, tenants=(api.Tenant(open_connections=4), api.Tenant()), over_share_worth=0.1)
     driver = Driver(settings)
     fill(driver, 6, tenant=0)
-    assert driver.balancer.flights[fill(driver, 1, tenant=0)[0]].cell == (0, True)
-    assert driver.balancer.flights[fill(driver, 1, tenant=1)[0]].cell == (0, False)
+    assert driver.balancer.requests[fill(driver, 1, tenant=0)[0]].bucket == (0, True)
+    assert driver.balancer.requests[fill(driver, 1, tenant=1)[0]].bucket == (0, False)
 
 
 def test_unknown_things_are_ignored_and_time_may_not_go_back():
@@ -348,8 +348,8 @@
         del driver.jobs[name]
     driver.members(api.MembershipKind.FULL, entries(1))
     balancer = driver.balancer
-    assert not balancer.flights and not balancer.held and list(balancer.servers) == ["s0"]
-    assert not balancer.servers["s0"].open and not balancer.servers["s0"].groups
+    assert not balancer.requests and not balancer.held and list(balancer.servers) == ["s0"]
+    assert not balancer.servers["s0"].connections and not balancer.servers["s0"].groups
 
 
 SCRIPT = """
@@ -412,12 +412,12 @@
     # Guards against a day cut off for CPU: work a tick must not grow with servers nothing is known of.
     driver = Driver(replace(REPORTS, probe_price=0.002, siblings=300), servers=300)
     fill(driver, 20)
-    assert len(driver.balancer.known) <= 20
+    assert len(driver.balancer.tracked) <= 20
     driver.wait(2 * SECOND)
     for name in list(driver.jobs):
         driver.end(name, api.Result.CANCELLED)
     driver.wait(10 * SECOND)
-    assert not driver.balancer.known
+    assert not driver.balancer.tracked
 
 
 def test_under_overload_a_group_is_kept_whole_over_all_zones():
@@ -441,7 +441,7 @@
     driver.arrive("a", 1)
     driver.arrive("b", 1)
     driver.now = driver.jobs["a"].deadline - 200 * MS
-    driver.balancer.window = driver.balancer.least_window = 1.0
+    driver.balancer.set_up_limit = driver.balancer.min_set_up_limit = 1.0
     driver.arrive("held first", 1)
     driver.end("a", api.Result.TIMEOUT)
     assert driver.jobs["a"].over
@@ -461,7 +461,7 @@
     if not restarted:
         driver.event(api.OpenConnection("old", 0, "s1"))
     driver.balancer.ladder.rung = 1
-    driver.balancer.ladder._install(driver.now, [1.0, 1.0])
+    driver.balancer.ladder._set_rates(driver.now, [1.0, 1.0])
     refused = returned(driver, 60)
     assert refused < 20 if restarted else refused > 40
 
@@ -470,11 +470,11 @@
     # Guards against a restart that puts the largest group on one server before a report has come back.
     driver = Driver(REPORTS)
     fill(driver, 40, group="sheet-7")
-    held = sorted(len(s.open) for s in driver.balancer.servers.values())
+    held = sorted(len(s.connections) for s in driver.balancer.servers.values())
     assert held[-1] <= 24 and held[-2] >= 6
     small = Driver(REPORTS)
     fill(small, 5, group="sheet-7")
-    assert max(len(s.open) for s in small.balancer.servers.values()) == 5, "a small group stays together"
+    assert max(len(s.connections) for s in small.balancer.servers.values()) == 5, "a small group stays together"
 
 
 def test_all_servers_are_probed_at_the_first_tick():
@@ -530,11 +530,11 @@
     driver = Driver(REPORTS, servers=2)
     report(driver, s0=1.6, s1=0.3)
     ladder = driver.balancer.ladder
-    driver.balancer._sample()
+    driver.balancer._sample_index()
     assert ladder.index_sum == pytest.approx(65.0)
-    driver.balancer._strike(driver.balancer.servers["s0"])
+    driver.balancer._record_failure(driver.balancer.servers["s0"])
     ladder.index_sum = 0.0
-    driver.balancer._sample()
+    driver.balancer._sample_index()
     assert ladder.index_sum == pytest.approx(30.0)
 
 
@@ -547,7 +547,7 @@
     def ends(name: str) -> bool:
         driver.jobs[name].tries = [Try(driver.list["s1"], driver.now, driver.now)]
         driver.end(name, api.Result.CANCELLED)
-        return driver.balancer._suspect(server)
+        return driver.balancer._is_suspect(server)
 
     for name in names[:3]:
         assert not ends(name), "clients that leave one by one"
@@ -557,7 +557,7 @@
     fill(driver, 12)
     assert "s1" not in {send.server for send in driver.actions(api.Send)}
     driver.members(api.MembershipKind.CHANGES, (replace(driver.list["s1"], started=driver.now),))
-    assert not driver.balancer._suspect(server), "a new process"
+    assert not driver.balancer._is_suspect(server), "a new process"
 
 
 def test_a_silent_connection_is_moved_and_its_server_is_not_blamed():
@@ -566,7 +566,7 @@
     driver.event(api.Note(name, 0, "s1", api.NoteKind.SILENT, 1100.0))
     assert [move.request for move in driver.actions(api.Move)] == [name]
     driver.wait(SECOND)
-    assert not driver.balancer.servers["s1"].strikes and len(driver.actions(api.Move)) == 1
+    assert not driver.balancer.servers["s1"].failures and len(driver.actions(api.Move)) == 1
 
 
 def test_a_report_is_taken_for_the_load_of_the_moment_it_tells_of():
@@ -592,14 +592,14 @@
     # as 1 gave a capacity 10,000 times too small: every server seemed asked thousands of times too much.
     driver = Driver(REPORTS)
     report(driver, s1=0.5)
-    assert driver.balancer.unit == 0
+    assert driver.balancer.unit_capacity == 0
     names = fill(driver, 4)
     for name in names:
         driver.event(api.Note(name, 0, driver.server_of(name), api.NoteKind.LOAD, 30_000.0))
     report(driver, s0=0.5, s1=0.5, s2=0.5, s3=0.5)
     fill(driver, 8)
     asked = [driver.balancer.utilisation(s) for s in driver.balancer.servers.values()]
-    assert all(0.5 <= each <= 1.0 for each in asked) and driver.balancer.unit > 100_000
+    assert all(0.5 <= each <= 1.0 for each in asked) and driver.balancer.unit_capacity > 100_000
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.name)
@@ -616,7 +616,7 @@
         standing(driver, server, 10)
         driver.event(api.ProbeResult(server, api.Result.OK, MS, told))
     # Ten connections of 30,000 of this gateway, as many of each other one, and half of the capacity used.
-    assert driver.balancer.unit == pytest.approx(2 * settings.siblings * 300_000, rel=0.01)
+    assert driver.balancer.unit_capacity == pytest.approx(2 * settings.siblings * 300_000, rel=0.01)
     driver.wait(2 * SECOND)
     driver.members(api.MembershipKind.CHANGES, (api.ServerEntry("new", started=driver.now),))
     for turn in range(200):
@@ -667,7 +667,7 @@
     for server in driver.list:
         standing(driver, server, 10)
     # The large one is the first to go by the order that all gateways share.
-    large = min((f"g{i}" for i in range(50)), key=lambda g: mixed(digest(g), digest("s1")))
+    large = min((f"g{i}" for i in range(50)), key=lambda g: pair_hash(digest(g), digest("s1")))
     for i in range(20):
         name = f"big{i}" if i < 16 else f"stray{i}"
         driver.jobs[name] = _standing(driver, "s1")
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -167,11 +167,21 @@
 def test_a_report_or_load_that_cannot_be_leaves_the_last_good_value(told):
     storm = Storm(1, 3, 1, 1, seed=1)
     balancer = storm.drivers[0].balancer
-    kept = balancer.servers["s0"].reported, balancer.cold_start.held, balancer.unit, balancer.load_sum[:]
+    kept = (
+        balancer.servers["s0"].reported_utilisation,
+        balancer.cold_start.mean_connections,
+        balancer.unit_capacity,
+        balancer.load_sum[:],
+    )
     storm.drivers[0].event(api.ProbeResult("s0", api.Result.OK, MS, (told, 10.0)))
     if not 0 < told < math.inf:
         storm.drivers[0].event(api.Note("old", 0, "s0", api.NoteKind.LOAD, told))
-    assert kept == (balancer.servers["s0"].reported, balancer.cold_start.held, balancer.unit, balancer.load_sum)
+    assert kept == (
+        balancer.servers["s0"].reported_utilisation,
+        balancer.cold_start.mean_connections,
+        balancer.unit_capacity,
+        balancer.load_sum,
+    )
 
 
 @pytest.mark.parametrize("warm_after", [0, 9 * SECOND])
@@ -187,39 +197,39 @@
 class FloorOfOne(ColdStart):
     """Each gateway may send one in a window, however small its part."""
 
-    def rate(self, capacity: float) -> float:
-        return max(1 / self.window, super().rate(capacity))
+    def slot_rate(self, capacity: float) -> float:
+        return max(1 / self.window, super().slot_rate(capacity))
 
 
 class SiblingsIgnored(ColdStart):
     """A gateway takes the whole budget for its own."""
 
-    def rate(self, capacity: float) -> float:
-        return super().rate(capacity) * self.settings.siblings
+    def slot_rate(self, capacity: float) -> float:
+        return super().slot_rate(capacity) * self.settings.siblings
 
 
 class WindowDoubled(ColdStart):
     """What two windows bear is given out in one."""
 
-    def rate(self, capacity: float) -> float:
-        return super().rate(capacity) * 2
+    def slot_rate(self, capacity: float) -> float:
+        return super().slot_rate(capacity) * 2
 
 
 class DeadForgotten(ColdStart):
     """The crowd is reckoned from what still stands, an idle fleet: hardly anyone is taken to come."""
 
-    def learn(self, passed: int, servers: object) -> None:
-        super().learn(passed, ())
+    def update_load(self, elapsed: int, servers: object) -> None:
+        super().update_load(elapsed, ())
 
 
 class NeverLapse(ColdStart):
     """Slots that nobody came for are kept for later."""
 
-    def open(self, now: int, slots: Slots, capacity: float) -> bool:
-        before, slots.count = slots.count, slots.count + self.rate(capacity) * (now - slots.counted_at)
+    def has_open_slot(self, now: int, slots: Slots, capacity: float) -> bool:
+        before, slots.count = slots.count, slots.count + self.slot_rate(capacity) * (now - slots.counted_at)
         slots.counted_at = now
-        slots.open += [now + 9 * SECOND] * (math.floor(slots.count) - math.floor(before))
-        return bool(slots.open)
+        slots.open_until += [now + 9 * SECOND] * (math.floor(slots.count) - math.floor(before))
+        return bool(slots.open_until)
 
 
 @pytest.mark.parametrize("mutant", [FloorOfOne, SiblingsIgnored, WindowDoubled, DeadForgotten, NeverLapse])
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -91,7 +91,7 @@
     one.reload()
     one.run(0.2)
     module = one.relay.driver.balancer
-    assert one.relay.discovery.index == 1 and [module.cold(module.servers[each]) for each in ("s1", "s2", "s3")] == [
+    assert one.relay.discovery.index == 1 and [module.is_cold(module.servers[each]) for each in ("s1", "s2", "s3")] == [
         False,
         True,
         True,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from driver import BASE, MS, SECOND, Driver, Job, Try, entries
 
 from scaledeal import interface as api
-from scaledeal.policy import WAITING, Balancer
+from scaledeal.policy import MAX_WAITING_REQUESTS, Balancer
 
 MANY = 40
 HOLDS = 40.0  # connections that fill a warm server
@@ -133,7 +133,7 @@
     for number in range(500):
         driver.arrive(f"r{number}", key=f"k{number}")
     timers = len(driver.timers) - before
-    assert 1 <= timers <= WAITING + 1, f"{timers} timers for 500 who wait"
+    assert 1 <= timers <= MAX_WAITING_REQUESTS + 1, f"{timers} timers for 500 who wait"
 
 
 def test_clients_that_come_back_pay_for_the_probes_that_place_them():
@@ -157,7 +157,7 @@
         driver.wait(6 * SECOND)
         assert sum(driver.balancer.ladder.estimate.values()) > 0
         driver.balancer.ladder.rung = 1
-        driver.balancer.ladder._install(driver.now, [1.0, 1.0])
+        driver.balancer.ladder._set_rates(driver.now, [1.0, 1.0])
         for turn in range(3):
             driver.arrive(f"r{turn}", key=f"k{turn}", returning=True)
             taken += f"r{turn}" in driver.out()
@@ -189,11 +189,11 @@
 def test_an_idle_server_counts_in_the_load_index():
     # Guards against refusing because of the loaded servers while newcomers that report nothing asked stand by.
     driver = fleet(servers=4)[0]
-    driver.balancer.servers["s0"].reported = 0.5
+    driver.balancer.servers["s0"].reported_utilisation = 0.5
     for server in ("s1", "s2", "s3"):
         answer(driver, server, 0.0)
     driver.wait(SECOND)
-    assert {"s1", "s2", "s3"} <= driver.balancer.known.keys()
+    assert {"s1", "s2", "s3"} <= driver.balancer.tracked.keys()
 
 
 def test_a_site_without_a_window_of_overload_takes_newcomers_without_a_fault():
--- a/tests/test_ladder.py
+++ b/tests/test_ladder.py
@@ -2,7 +2,7 @@
 
 from driver import SECOND
 
-from scaledeal.policy import OVERLOAD, RUNGS, UNDERLOAD, Ladder
+from scaledeal.policy import OVERLOAD_INDEX, RUNGS, UNDERLOAD_INDEX, Ladder
 
 HIGH, LOW = (0, False), (1, False)
 
@@ -32,8 +32,8 @@
 
 def test_one_rung_a_step_up_past_overload_and_down_under_underload():
     made = ladder()
-    past, under = OVERLOAD + 1, UNDERLOAD - 1
-    for index, rung in ((past, 1), (past, 2), (OVERLOAD, 2), (UNDERLOAD, 2), (under, 1)):
+    past, under = OVERLOAD_INDEX + 1, UNDERLOAD_INDEX - 1
+    for index, rung in ((past, 1), (past, 2), (OVERLOAD_INDEX, 2), (UNDERLOAD_INDEX, 2), (under, 1)):
         made.sample(index)
         made.step(20 * SECOND, [1.0, 1.0])
         assert made.rung == rung
@@ -50,7 +50,7 @@
     for reading in (500, 500, 0, 0, -50):
         made.sample(reading)
     assert made.step(11 * SECOND, [1.0, 1.0]) == -0 and made.rung == 0
-    made.sample(OVERLOAD + 5)
+    made.sample(OVERLOAD_INDEX + 5)
     assert made.step(12 * SECOND, [1.0, 1.0]) == 1
 
 
@@ -82,16 +82,16 @@
     climb(made, 1, 1)
     frozen = dict(made.estimate)
     made.accepted[LOW] = 900
-    made.sample(OVERLOAD - 1)
+    made.sample(OVERLOAD_INDEX - 1)
     made.step(9 * SECOND, [1.0, 1.0])
     assert made.estimate == frozen
 
 
 def test_no_step_up_while_a_steady_index_falls():
     # Guards against overshoot: what a rung refuses shows late where connections live long.
-    made = Ladder(dict(ladder().worths), steady=True)
+    made = Ladder(dict(ladder().worths), index_from_reports=True)
     moves = []
-    for i, index in enumerate((OVERLOAD + 1, 95, 90, 85, 85, 50)):
+    for i, index in enumerate((OVERLOAD_INDEX + 1, 95, 90, 85, 85, 50)):
         made.sample(index)
         moves.append(made.step((11 + i) * SECOND, [1.0, 1.0]))
     assert moves == [1, 1, 0, 0, 1, -1]
