--- a/scaledeal/__init__.py
+++ b/scaledeal/__init__.py
@@ -1,4 +1,4 @@
-"""scaledeal: the decisions of a balancer for long-lived connections, without any I/O."""
+"""scaledeal: a balancer for long-lived connections. This package exports its decision module, which does no I/O."""
 
 from scaledeal.policy import Balancer
 
--- a/scaledeal/cli/checking.py
+++ b/scaledeal/cli/checking.py
@@ -25,7 +25,7 @@
             document.settings()
         except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as error:
             return [Fault(0, str(config), str(error))]
-        if document.relays() != int(document.siblings):  # a relay starts with it, and logs it
+        if document.relay_count() != int(document.siblings):  # a relay starts with it, and logs it
             return [Fault(0, str(config), f"settings: Siblings: {document.siblings:g}, where Me is {document.me:g}")]
     try:
         installation = read(file, document)
--- a/scaledeal/settings.py
+++ b/scaledeal/settings.py
@@ -1,8 +1,7 @@
-"""The settings as the operators write them, and what the decision module reads of them.
+"""The settings as operators write them, and their conversion to those of the decision module.
 
-The adapter gets them as path=value words, the relay as nested JSON, under the same names and in the same
-units. Both decode into ``Document``. Unknown keys are skipped; a bad value raises ``ValueError`` with its
-path.
+The adapter gets them as path=value words, the relay as nested JSON, under the same names and in the same units. Both
+decode into ``Document``. Unknown keys are ignored; a bad value raises ValueError with its path.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 
 class _Section(msgspec.Struct, rename="pascal", frozen=True):
-    """One object of the settings; durations are nanoseconds, and whole numbers may come as decimals."""
+    """A section of the settings. Durations are in nanoseconds, and whole numbers may be written as decimals."""
 
 
 class ClassEntry(_Section, frozen=True):
@@ -43,7 +42,7 @@
 
 
 class Caps(_Section, frozen=True):
-    """What the site allows."""
+    """Limits of the site, and what it allows a relay to do."""
 
     max_attempts: float = 1.0
     probing: bool = False
@@ -55,7 +54,7 @@
 
 
 class Prices(_Section, frozen=True):
-    """What costs points."""
+    """Costs in points."""
 
     moves: float = 0.0
     probe: float = 0.0
@@ -63,14 +62,14 @@
 
 
 class Report(_Section, frozen=True):
-    """What load reports hold and where they come from."""
+    """The values of a load report, in order, and how reports arrive."""
 
     fields: tuple[str, ...] = ()
     via: Literal["answers", "probe", "none"] = "none"
 
 
 class Rules(_Section, frozen=True):
-    """The figures of the rules."""
+    """The limits of the site's rules."""
 
     cold_from: float = 1.0
     warm_after: float = 0.0
@@ -82,7 +81,7 @@
 
 
 class Specifics(_Section, frozen=True):
-    """Facts about this kind of service."""
+    """Properties of this kind of service."""
 
     groups: bool = False
     message_aim: tuple[float | None, ...] = ()
@@ -90,7 +89,7 @@
 
 
 class Document(_Section, frozen=True):
-    """The settings that anything here reads."""
+    """All settings that a relay or the adapter reads."""
 
     classes: tuple[ClassEntry, ...] = ()
     accounts: tuple[Account, ...] = ()
@@ -109,14 +108,14 @@
     specifics: Specifics = Specifics()
 
     def settings(self) -> api.Settings:
-        """Return what the decision module is told; raise ValueError where it can't work with that."""
+        """Return the decision module's settings; raise ValueError for a value that it can't work with."""
         return api.Settings(
-            classes=tuple(self._class(i, entry) for i, entry in enumerate(self.classes)),
+            classes=tuple(self._request_class(i, entry) for i, entry in enumerate(self.classes)),
             tenants=tuple(
-                api.Tenant(entry.allowance_per_s, _at(self.specifics.tenant_quota_connections, i))
+                api.Tenant(entry.allowance_per_s, _value_or_zero(self.specifics.tenant_quota_connections, i))
                 for i, entry in enumerate(self.accounts)
             ),
-            siblings=self.relays(),
+            siblings=self.relay_count(),
             me=int(self.me),
             zone=int(self.zone),
             ask_discovery=self.discovery == "on_request",
@@ -139,15 +138,15 @@
             granularity=int(self.granularity),
         )
 
-    def relays(self) -> int:
-        """Return how many relays there are: as told, but no fewer than this one's number shows.
+    def relay_count(self) -> int:
+        """Return the number of relays: as configured, but at least one more than this relay's number.
 
-        Guards against a relay that takes a larger part of a cold server's budget than it has, and against a start that
-        fails for a number that nothing but a share is reckoned by.
+        With a number that is too low, this relay would use more than its share of a cold server's budget. It is not
+        rejected, as only shares are computed from it: that is no reason for a start to fail.
         """
         return max(1, int(self.siblings), int(self.me) + 1)
 
-    def _class(self, number: int, entry: ClassEntry) -> api.RequestClass:
+    def _request_class(self, index: int, entry: ClassEntry) -> api.RequestClass:
         return api.RequestClass(
             aim=int(entry.aim),
             deadline=int(entry.deadline),
@@ -155,28 +154,31 @@
             semantics=_SEMANTICS[entry.semantics],
             scope=api.Scope(entry.key_scope),
             window=int(entry.window),
-            message_aim=int(_at(self.specifics.message_aim, number)),
+            message_aim=int(_value_or_zero(self.specifics.message_aim, index)),
         )
 
 
-def _at(values: tuple[float | None, ...], number: int) -> float:
-    return (values[number] or 0.0) if number < len(values) else 0.0
+def _value_or_zero(values: tuple[float | None, ...], index: int) -> float:
+    return (values[index] or 0.0) if index < len(values) else 0.0
 
 
 def from_pairs(pairs: dict[str, str]) -> Document:
-    """Decode the settings from path=value words; an empty value counts as absent."""
+    """Decode the settings from path=value pairs; an empty value counts as absent.
+
+    Raise ValueError with the path of a bad value.
+    """
     tree: dict[str, Any] = {}
     for path, value in pairs.items():
         if not value:
             continue
         *parents, leaf = path.split(".")
-        at = tree
+        node = tree
         for part in parents:
-            inner = at.setdefault(part, {})
+            inner = node.setdefault(part, {})
             if not isinstance(inner, dict):
-                raise ValueError(f"{path}: {part} is a value elsewhere")
-            at = inner
-        at[leaf] = [None if v == "null" else v for v in value.split(",")] if path in _LISTS else value
+                raise ValueError(f"{path}: {part} is also given as a single value")
+            node = inner
+        node[leaf] = [None if v == "null" else v for v in value.split(",")] if path in _LISTS else value
     for name in ("Classes", "Accounts"):
         if isinstance(listed := tree.get(name), dict):
             tree[name] = [listed.get(str(i), {}) for i in range(int(listed.get("count", 0)))]
--- a/scaledeal/wirehost.py
+++ b/scaledeal/wirehost.py
@@ -1,8 +1,7 @@
-"""Hosts balancers on the simulator's text wire; translates and decides nothing.
+"""The adapter between balancers and the simulator's text protocol; it translates and decides nothing.
 
-Reads batches from standard input and writes one reply to each. Malformed input ends the process
-with one plain message on standard error and exit code 2. An exception inside a balancer becomes
-a ``FAULT`` line.
+It reads batches of events from standard input and writes one reply to each. Malformed input ends the process with
+one line on standard error and exit code 2. An exception inside a balancer becomes a ``FAULT`` line.
 """
 
 from __future__ import annotations
@@ -16,8 +15,8 @@
 from scaledeal.policy import Balancer
 from scaledeal.settings import from_pairs
 
-_STATES = {"live": api.ServerState.LIVE, "quiescing": api.ServerState.DRAINING, "dead": api.ServerState.GONE}
-_KINDS = {
+_SERVER_STATES = {"live": api.ServerState.LIVE, "quiescing": api.ServerState.DRAINING, "dead": api.ServerState.GONE}
+_MEMBERSHIP_KINDS = {
     "incr": api.MembershipKind.CHANGES,
     "total": api.MembershipKind.FULL,
     "warm_copy": api.MembershipKind.INITIAL,
@@ -33,69 +32,71 @@
     "ecanceled": api.Result.CANCELLED,
     "skipped": api.Result.NOT_SENT,
 }
-_NOTES = {"1": api.NoteKind.LOAD, "2": api.NoteKind.DELAY}
-_MID_FLOW, _RETURNING = 8, 16
+_NOTE_KINDS = {"1": api.NoteKind.LOAD, "2": api.NoteKind.DELAY}
+# Bits of an arrival's options
+_MID_FLOW = 8
+_RETURNING = 16
 
 
 class WireError(Exception):
-    """The input does not follow the wire."""
+    """The input does not follow the simulator's protocol."""
 
 
 T = TypeVar("T")
 
 
-def _choice(table: dict[str, T], word: str, what: str) -> T:
+def _look_up(table: dict[str, T], word: str, field: str) -> T:
     if word not in table:
-        raise WireError(f"{what}: unknown word {word!r}")
+        raise WireError(f"{field}: unknown word {word!r}")
     return table[word]
 
 
-class _Row:
-    """The values of one line, read by position; every fault names the field."""
+class _Line:
+    """One line of input: its name, and its values by position; every error names the field."""
 
     def __init__(self, line: str) -> None:
         self.name, *self.values = line.split(" ")
 
-    def text(self, at: int, field: str) -> str:
-        if at >= len(self.values):
+    def text(self, index: int, field: str) -> str:
+        if index >= len(self.values):
             raise WireError(f"{self.name}: field {field} is missing")
-        value = self.values[at]
+        value = self.values[index]
         return "" if value == "-" else value
 
-    def need(self, at: int, field: str) -> str:
-        value = self.text(at, field)
+    def required(self, index: int, field: str) -> str:
+        value = self.text(index, field)
         if not value:
-            raise WireError(f"{self.name}: field {field} is absent")
+            raise WireError(f"{self.name}: field {field} is empty")
         return value
 
-    def whole(self, at: int, field: str, absent: int | None = None) -> int:
-        value = self.text(at, field)
-        if not value and absent is not None:
-            return absent
+    def integer(self, index: int, field: str, default: int | None = None) -> int:
+        value = self.text(index, field)
+        if not value and default is not None:
+            return default
         try:
             return int(value)
         except ValueError:
-            raise WireError(f"{self.name}: field {field} is no whole number: {value!r}") from None
+            raise WireError(f"{self.name}: field {field} is not a whole number: {value!r}") from None
 
-    def number(self, at: int, field: str, absent: float | None = None) -> float:
-        value = self.text(at, field)
-        if not value and absent is not None:
-            return absent
+    def number(self, index: int, field: str, default: float | None = None) -> float:
+        value = self.text(index, field)
+        if not value and default is not None:
+            return default
         try:
             return float(value)
         except ValueError:
-            raise WireError(f"{self.name}: field {field} is no number: {value!r}") from None
+            raise WireError(f"{self.name}: field {field} is not a number: {value!r}") from None
 
-    def report(self, at: int, field: str) -> tuple[float, ...]:
-        value = self.text(at, field)
+    def numbers(self, index: int, field: str) -> tuple[float, ...]:
+        value = self.text(index, field)
         try:
             return tuple(float(part) for part in value.split(",")) if value else ()
         except ValueError:
-            raise WireError(f"{self.name}: field {field} holds no numbers: {value!r}") from None
+            raise WireError(f"{self.name}: field {field} is not a list of numbers: {value!r}") from None
 
 
 def read_settings(words: list[str]) -> api.Settings:
-    """Build the library's settings from the wire's path=value pairs."""
+    """Build the balancer's settings from the path=value words of a HELLO line."""
     pairs: dict[str, str] = {}
     for word in words:
         path, equals, value = word.partition("=")
@@ -109,74 +110,74 @@
     return document.settings()
 
 
-def _hint(row: _Row, options: int, at: int) -> float:
-    return row.number(at, "Estimate", 0.0) / 1000 if options & 1 else 0.0
+def _load_hint(line: _Line, options: int, index: int) -> float:
+    return line.number(index, "Estimate", 0.0) / 1000 if options & 1 else 0.0
 
 
-def _arrival(row: _Row) -> api.Event:
-    options = row.whole(5, "Options", 0)
+def _arrival(line: _Line) -> api.Event:
+    options = line.integer(5, "Options", 0)
     return api.Request(
-        request=row.need(0, "Handle"),
-        request_class=row.whole(7, "Category"),
-        deadline=row.whole(2, "GiveUpAt"),
-        key=row.text(1, "TargetKey"),
-        group=row.text(3, "TeamId"),
-        tenant=row.whole(4, "Realm", 0),
+        request=line.required(0, "Handle"),
+        request_class=line.integer(7, "Category"),
+        deadline=line.integer(2, "GiveUpAt"),
+        key=line.text(1, "TargetKey"),
+        group=line.text(3, "TeamId"),
+        tenant=line.integer(4, "Realm", 0),
         mid_flow=bool(options & _MID_FLOW),
         returning=bool(options & _RETURNING),
-        load_hint=_hint(row, options, 6),
+        load_hint=_load_hint(line, options, 6),
     )
 
 
-def _handover(row: _Row) -> api.Event:
+def _handover(line: _Line) -> api.Event:
     return api.OpenConnection(
-        request=row.need(0, "Handle"),
-        request_class=row.whole(6, "Category"),
-        server=row.need(1, "Server"),
-        key=row.text(4, "TargetKey"),
-        group=row.text(5, "TeamId"),
-        tenant=row.whole(8, "Realm", 0),
-        load_hint=_hint(row, row.whole(7, "Options", 0), 3),
+        request=line.required(0, "Handle"),
+        request_class=line.integer(6, "Category"),
+        server=line.required(1, "Server"),
+        key=line.text(4, "TargetKey"),
+        group=line.text(5, "TeamId"),
+        tenant=line.integer(8, "Realm", 0),
+        load_hint=_load_hint(line, line.integer(7, "Options", 0), 3),
     )
 
 
-def _headers(row: _Row) -> api.Event:
+def _headers(line: _Line) -> api.Event:
     return api.Established(
-        row.need(0, "Handle"), row.whole(3, "SendNo"), row.need(1, "Server"), row.whole(2, "Elapsed")
+        line.required(0, "Handle"), line.integer(3, "SendNo"), line.required(1, "Server"), line.integer(2, "Elapsed")
     )
 
 
-def _completed(row: _Row) -> api.Event:
+def _completed(line: _Line) -> api.Event:
     return api.Outcome(
-        request=row.need(0, "Handle"),
-        attempt=row.whole(1, "SendNo"),
-        server=row.need(2, "Server"),
-        result=_choice(_RESULTS, row.need(3, "Verdict"), "COMPLETED: field Verdict"),
-        elapsed=row.whole(4, "Elapsed"),
-        last=row.whole(5, "Last") != 0,
-        report=row.report(6, "Metrics"),
+        request=line.required(0, "Handle"),
+        attempt=line.integer(1, "SendNo"),
+        server=line.required(2, "Server"),
+        result=_look_up(_RESULTS, line.required(3, "Verdict"), "COMPLETED: field Verdict"),
+        elapsed=line.integer(4, "Elapsed"),
+        last=line.integer(5, "Last") != 0,
+        report=line.numbers(6, "Metrics"),
     )
 
 
-def _interim(row: _Row) -> api.Event | None:
-    kind = _NOTES.get(row.need(3, "Sort"))
-    amount = row.number(4, "Amount")
-    request, attempt, server = row.need(0, "Handle"), row.whole(1, "SendNo"), row.need(2, "Server")
+def _interim(line: _Line) -> api.Event | None:
+    kind = _NOTE_KINDS.get(line.required(3, "Sort"))
+    amount = line.number(4, "Amount")
+    request, attempt, server = line.required(0, "Handle"), line.integer(1, "SendNo"), line.required(2, "Server")
     return api.Note(request, attempt, server, kind, amount) if kind else None
 
 
-def _probe_done(row: _Row) -> api.Event:
-    result = _choice(_RESULTS, row.need(1, "Verdict"), "PROBE_DONE: field Verdict")
-    return api.ProbeResult(row.need(0, "Server"), result, row.whole(2, "Elapsed"), row.report(3, "Metrics"))
+def _probe_done(line: _Line) -> api.Event:
+    result = _look_up(_RESULTS, line.required(1, "Verdict"), "PROBE_DONE: field Verdict")
+    return api.ProbeResult(line.required(0, "Server"), result, line.integer(2, "Elapsed"), line.numbers(3, "Metrics"))
 
 
-def _note_from(row: _Row) -> api.Event | None:
-    row.whole(0, "Author")
-    row.text(1, "Octets")
+def _note_from(line: _Line) -> api.Event | None:
+    line.integer(0, "Author")
+    line.text(1, "Octets")
     return None
 
 
-_EVENTS: dict[str, Callable[[_Row], api.Event | None]] = {
+_EVENTS: dict[str, Callable[[_Line], api.Event | None]] = {
     "ARRIVAL": _arrival,
     "HANDOVER": _handover,
     "HEADERS": _headers,
@@ -184,8 +185,8 @@
     "INTERIM": _interim,
     "PROBE_DONE": _probe_done,
     "NOTE_FROM": _note_from,
-    "FIRED": lambda row: api.Timer(row.whole(0, "Handle")),
-    "VANISHED": lambda row: api.ClientGone(row.need(0, "Handle")),
+    "FIRED": lambda line: api.Timer(line.integer(0, "Handle")),
+    "VANISHED": lambda line: api.ClientGone(line.required(0, "Handle")),
 }
 
 _ACTIONS: dict[type[api.Action], Callable[..., str]] = {
@@ -201,32 +202,32 @@
 }
 
 
-def _entry(line: str) -> api.ServerEntry:
-    row = _Row(line)
-    if row.name != "ROW":
-        raise WireError(f"MEMBERS: a ROW line was expected, not {row.name!r}")
+def _server_entry(text: str) -> api.ServerEntry:
+    line = _Line(text)
+    if line.name != "ROW":
+        raise WireError(f"MEMBERS: a ROW line was expected, not {line.name!r}")
     return api.ServerEntry(
-        server=row.need(0, "Server"),
-        started=row.whole(1, "StartTime", 0),
-        zone=row.whole(3, "RackZone", 0),
-        weight=row.number(4, "PowerHint", 1.0),
-        state=_choice(_STATES, row.need(5, "Availability"), "ROW: field Availability"),
-        cell=row.whole(6, "Stripe", 0),
+        server=line.required(0, "Server"),
+        started=line.integer(1, "StartTime", 0),
+        zone=line.integer(3, "RackZone", 0),
+        weight=line.number(4, "PowerHint", 1.0),
+        state=_look_up(_SERVER_STATES, line.required(5, "Availability"), "ROW: field Availability"),
+        cell=line.integer(6, "Stripe", 0),
     )
 
 
 class Host:
-    """Holds one balancer for each instance and feeds it its events."""
+    """Runs one balancer for each instance of the simulator and passes it its events."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
-        self.lines = self._numbered(source)
+        self.lines = self._count_lines(source)
         self.sink = sink
-        self.at = 0
+        self.line_number = 0
         self.balancers: dict[int, Balancer] = {}
 
-    def _numbered(self, source: TextIO) -> Iterator[str]:
+    def _count_lines(self, source: TextIO) -> Iterator[str]:
         for line in source:
-            self.at += 1
+            self.line_number += 1
             yield line.rstrip("\n")
 
     def _next(self) -> str:
@@ -236,12 +237,12 @@
         return line
 
     def serve(self) -> None:
-        """Answer batches until the input ends between two of them."""
-        for line in self.lines:
-            row = _Row(line)
-            if row.name != "FRAME":
-                raise WireError(f"a FRAME line was expected, not {row.name!r}")
-            reply = self._batch(row.whole(0, "clock"))
+        """Answer batches until the input ends; raise WireError if it is malformed or ends inside a batch."""
+        for text in self.lines:
+            line = _Line(text)
+            if line.name != "FRAME":
+                raise WireError(f"a FRAME line was expected, not {line.name!r}")
+            reply = self._batch(line.integer(0, "clock"))
             reply.append("END\n")
             self.sink.write("\n".join(reply))
             self.sink.flush()
@@ -249,67 +250,67 @@
     def _batch(self, now: int) -> list[str]:
         reply: list[str] = []
         instance: int | None = None
-        spoken_for: int | None = None
-        while (line := self._next()) != "EOF_BATCH":
-            row = _Row(line)
-            if row.name == "TO":
-                instance = row.whole(0, "Proxy")
+        reply_instance: int | None = None
+        while (text := self._next()) != "EOF_BATCH":
+            line = _Line(text)
+            if line.name == "TO":
+                instance = line.integer(0, "Proxy")
                 continue
             if instance is None:
-                raise WireError(f"{row.name}: no TO line came before it")
+                raise WireError(f"{line.name}: no TO line came before it")
             try:
-                actions = self._event(instance, now, row)
+                actions = self._handle(instance, now, line)
             except WireError:
                 raise
-            except Exception as error:  # the module's own failure is reported on the wire
-                told = f"{type(error).__name__}: {error}".replace("\n", " ")
-                reply += [f"ON_BEHALF {instance}", f"FAULT {told}"]
-                spoken_for = instance
+            except Exception as error:  # a failure of the balancer is part of the reply
+                message = f"{type(error).__name__}: {error}".replace("\n", " ")
+                reply += [f"ON_BEHALF {instance}", f"FAULT {message}"]
+                reply_instance = instance
                 continue
-            if actions and spoken_for != instance:
+            if actions and reply_instance != instance:
                 reply.append(f"ON_BEHALF {instance}")
-                spoken_for = instance
+                reply_instance = instance
             reply += [_ACTIONS[type(action)](action) for action in actions]
         return reply
 
-    def _event(self, instance: int, now: int, row: _Row) -> list[api.Action]:
+    def _handle(self, instance: int, now: int, line: _Line) -> list[api.Action]:
         event: api.Event | None
-        if row.name == "HELLO":
-            salt = row.whole(0, "Salt")
-            settings = read_settings(row.values[1:])
-            self.balancers[instance] = Balancer(settings, salt)
+        if line.name == "HELLO":
+            seed = line.integer(0, "Salt")
+            settings = read_settings(line.values[1:])
+            self.balancers[instance] = Balancer(settings, seed)
             return []
-        if row.name == "MEMBERS":
-            event = self._members(row)
-        elif row.name == "HALT":
+        if line.name == "MEMBERS":
+            event = self._members(line)
+        elif line.name == "HALT":
             self.balancers.pop(instance, None)
             return []
-        elif row.name in _EVENTS:
-            event = _EVENTS[row.name](row)
+        elif line.name in _EVENTS:
+            event = _EVENTS[line.name](line)
         else:
-            raise WireError(f"unknown message {row.name!r}")
+            raise WireError(f"unknown message {line.name!r}")
         if instance not in self.balancers:
-            raise WireError(f"{row.name}: instance {instance} got no HELLO before it")
+            raise WireError(f"{line.name}: instance {instance} got no HELLO before it")
         return self.balancers[instance].handle(now, event) if event else []
 
-    def _members(self, row: _Row) -> api.Event:
-        kind = _choice(_KINDS, row.need(0, "How"), "MEMBERS: field How")
-        row.whole(1, "Stamp", 0)
-        count = row.whole(2, "Lines", 0)
-        return api.Membership(kind, tuple(_entry(self._next()) for _ in range(count)))
+    def _members(self, line: _Line) -> api.Event:
+        kind = _look_up(_MEMBERSHIP_KINDS, line.required(0, "How"), "MEMBERS: field How")
+        line.integer(1, "Stamp", 0)
+        count = line.integer(2, "Lines", 0)
+        return api.Membership(kind, tuple(_server_entry(self._next()) for _ in range(count)))
 
 
 def main() -> int:
-    """Serve standard input until it ends."""
+    """Serve standard input until it ends and return the exit code."""
     gc.freeze()
     host = Host(sys.stdin, sys.stdout)
     try:
         host.serve()
     except WireError as error:
-        print(f"wirehost: line {host.at}: {error}", file=sys.stderr)
+        print(f"wirehost: line {host.line_number}: {error}", file=sys.stderr)
         return 2
     except UnicodeDecodeError as error:
-        print(f"wirehost: after line {host.at}: not UTF-8: {error.reason}", file=sys.stderr)
+        print(f"wirehost: after line {host.line_number}: not UTF-8: {error.reason}", file=sys.stderr)
         return 2
     return 0
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""Plays the caller of one balancer: keeps its timers and attempts and judges its actions by the rules."""
+"""A driver for one balancer: keeps its timers and attempts, and checks each action against the rules."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     overload_factor=4.0,
     overload_window=3 * SECOND,
 )
-PROVEN = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
+# Results after which a request has certainly not run
+NOT_EXECUTED = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT)
 
 
 def entries(count: int, **changes: object) -> tuple[api.ServerEntry, ...]:
@@ -30,50 +31,50 @@
 
 
 @dataclass
-class Try:
+class SentAttempt:
     server: api.ServerEntry
     sent: int
     due: int
     result: api.Result | None = None
-    stands: bool = False
+    established: bool = False
 
 
 @dataclass
-class Job:
+class ClientRequest:
     cls: int
     deadline: int
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[SentAttempt] = field(default_factory=list)
     over: bool = False
-    stands: bool = False
+    established: bool = False
 
 
 class Driver:
-    """Hands events to a balancer and carries out its actions; a broken rule fails the test at once."""
+    """Passes events to a balancer and carries out its actions; an action that breaks a rule fails the test at once."""
 
     def __init__(self, settings: api.Settings = BASE, seed: int = 1, servers: int = 4) -> None:
         self.settings = settings
         self.balancer = Balancer(settings, seed)
         self.now = 1000 * SECOND
         self.timers: list[tuple[int, int]] = []
-        self.jobs: dict[str, Job] = {}
-        self.list: dict[str, api.ServerEntry] = {}
+        self.requests: dict[str, ClientRequest] = {}
+        self.listed: dict[str, api.ServerEntry] = {}
         self.log: list[str] = []
         self.probes_answered = True
-        self.seen: list[tuple[int, api.Action]] = []
+        self.performed: list[tuple[int, api.Action]] = []
         self.members(api.MembershipKind.INITIAL, entries(servers))
 
     def members(self, kind: api.MembershipKind, servers: tuple[api.ServerEntry, ...]) -> list[api.Action]:
         if kind in (api.MembershipKind.INITIAL, api.MembershipKind.FULL):
-            self.list = {}
-        self.list.update({entry.server: entry for entry in servers})
+            self.listed = {}
+        self.listed.update({entry.server: entry for entry in servers})
         return self.event(api.Membership(kind, servers))
 
     def event(self, event: api.Event) -> list[api.Action]:
         actions = self.balancer.handle(self.now, event)
         for action in actions:
-            self.seen.append((self.now, action))
+            self.performed.append((self.now, action))
             self._carry_out(action)
-        # Unless a test says otherwise, a probe is answered at once, without a report.
+        # Unless a test sets ``probes_answered`` to False, a probe is answered at once, without a report.
         for action in actions if self.probes_answered else ():
             if isinstance(action, api.Probe):
                 self.event(api.ProbeResult(action.server, api.Result.OK, MS))
@@ -87,102 +88,104 @@
             case api.Send():
                 self._send(action)
             case api.Refuse() | api.Fail():
-                job = self.jobs[action.request]
-                assert not job.over, "a second final answer"
-                assert all(t.result is not None for t in job.tries), "answered with an attempt out"
+                request = self.requests[action.request]
+                assert not request.over, "a second final answer"
+                assert all(a.result is not None for a in request.attempts), "answered while an attempt is under way"
                 if isinstance(action, api.Refuse):
-                    self._may_refuse(job)
-                job.over = True
+                    self._check_may_refuse(request)
+                request.over = True
             case api.Cancel():
                 assert self.settings.may_cancel
-                assert action.attempt < len(self.jobs[action.request].tries)
+                assert action.attempt < len(self.requests[action.request].attempts)
             case api.Move():
-                job = self.jobs[action.request]
-                assert job.stands
-                job.over = True
+                request = self.requests[action.request]
+                assert request.established
+                request.over = True
             case api.Probe():
                 assert self.settings.may_probe
-                assert action.server in self.list
+                assert action.server in self.listed
             case api.Log():
                 self.log.append(action.text)
 
     def _send(self, action: api.Send) -> None:
-        job = self.jobs[action.request]
-        assert not job.over, "sent after the final answer"
-        assert all(t.result is not None for t in job.tries), "two attempts at once"
-        assert len(job.tries) < self.settings.max_attempts
-        entry = self.list.get(action.server)
-        assert entry is not None and entry.state is api.ServerState.LIVE, "sent where it drains or is gone"
-        cls = self.settings.classes[job.cls]
-        unproven = [t for t in job.tries if t.result not in PROVEN]
-        if unproven and cls.semantics is not api.Semantics.REPEATABLE:
+        request = self.requests[action.request]
+        assert not request.over, "sent after the final answer"
+        assert all(a.result is not None for a in request.attempts), "two attempts at once"
+        assert len(request.attempts) < self.settings.max_attempts
+        entry = self.listed.get(action.server)
+        assert entry is not None and entry.state is api.ServerState.LIVE, "sent to a server that drains or is gone"
+        cls = self.settings.classes[request.cls]
+        may_have_run = [a for a in request.attempts if a.result not in NOT_EXECUTED]
+        if may_have_run and cls.semantics is not api.Semantics.REPEATABLE:
             assert cls.semantics is api.Semantics.KEYED, "an unsafe request sent again"
-            for before in unproven:
+            for before in may_have_run:
                 assert self.now < before.sent + cls.window, "sent again after the window"
                 if cls.scope is api.Scope.ZONE:
                     assert before.server.zone == entry.zone
                 if cls.scope is api.Scope.CELL:
                     assert before.server.cell == entry.cell
-        due = min(job.deadline, self.now + action.timeout) if action.timeout else job.deadline
-        job.tries.append(Try(entry, self.now, due))
+        due = min(request.deadline, self.now + action.timeout) if action.timeout else request.deadline
+        request.attempts.append(SentAttempt(entry, self.now, due))
 
-    def _may_refuse(self, job: Job) -> None:
-        cls = self.settings.classes[job.cls]
-        if cls.semantics is api.Semantics.REPEATABLE or all(t.result in PROVEN for t in job.tries):
+    def _check_may_refuse(self, request: ClientRequest) -> None:
+        cls = self.settings.classes[request.cls]
+        if cls.semantics is api.Semantics.REPEATABLE or all(a.result in NOT_EXECUTED for a in request.attempts):
             return
-        assert (cls.semantics, cls.scope) == (api.Semantics.KEYED, api.Scope.ALL), "refused what may have run"
+        assert (cls.semantics, cls.scope) == (api.Semantics.KEYED, api.Scope.ALL), "refused a request that may have run"
 
-    # What a test may let happen
+    # Events that a test can cause
 
-    def arrive(self, name: str, cls: int = 0, **more: object) -> list[api.Action]:
-        self.jobs[name] = Job(cls, self.now + self.settings.classes[cls].deadline)
-        return self.event(api.Request(name, cls, self.jobs[name].deadline, **{"key": name, **more}))
+    def arrive(self, name: str, cls: int = 0, **fields: object) -> list[api.Action]:
+        self.requests[name] = ClientRequest(cls, self.now + self.settings.classes[cls].deadline)
+        return self.event(api.Request(name, cls, self.requests[name].deadline, **{"key": name, **fields}))
 
-    def out(self) -> list[str]:
-        """Name the requests that have an attempt out whose connection is not up."""
-        tried = [(name, job) for name, job in self.jobs.items() if job.tries and not job.stands]
-        return [name for name, job in tried if job.tries[-1].result is None]
+    def pending(self) -> list[str]:
+        """Return the names of the requests with a set-up under way."""
+        sent = [
+            (name, request) for name, request in self.requests.items() if request.attempts and not request.established
+        ]
+        return [name for name, request in sent if request.attempts[-1].result is None]
 
     def server_of(self, name: str) -> str:
-        return self.jobs[name].tries[-1].server.server
+        return self.requests[name].attempts[-1].server.server
 
     def establish(self, name: str, elapsed: int = 20 * MS) -> list[api.Action]:
-        job = self.jobs[name]
-        job.stands = True
-        return self.event(api.Established(name, len(job.tries) - 1, self.server_of(name), elapsed))
+        request = self.requests[name]
+        request.established = True
+        return self.event(api.Established(name, len(request.attempts) - 1, self.server_of(name), elapsed))
 
     def end(self, name: str, result: api.Result) -> list[api.Action]:
-        job = self.jobs[name]
-        last = job.over or job.stands or result is api.Result.OK
-        job.tries[-1].result = result
-        job.over = last
-        return self.event(api.Outcome(name, len(job.tries) - 1, self.server_of(name), result, MS, last))
+        request = self.requests[name]
+        last = request.over or request.established or result is api.Result.OK
+        request.attempts[-1].result = result
+        request.over = last
+        return self.event(api.Outcome(name, len(request.attempts) - 1, self.server_of(name), result, MS, last))
 
     def leave(self, name: str) -> list[api.Action]:
-        self.jobs[name].over = True
+        self.requests[name].over = True
         return self.event(api.ClientGone(name))
 
     def wait(self, span: int) -> None:
-        """Let time pass: timers fire, attempts time out, no answer may be late."""
+        """Let time pass: fire timers, time out attempts, and check that no answer is late."""
         end = self.now + span
         while True:
             moments = [at for at, _ in self.timers]
-            moments += [self.jobs[n].tries[-1].due for n in self.out()]
+            moments += [self.requests[n].attempts[-1].due for n in self.pending()]
             if not moments or min(moments) > end:
                 break
             self.now = max(self.now, min(moments))
-            for name in [n for n in self.out() if self.jobs[n].tries[-1].due <= self.now]:
+            for name in [n for n in self.pending() if self.requests[n].attempts[-1].due <= self.now]:
                 self.end(name, api.Result.TIMEOUT)
             due = [timer for timer in self.timers if timer[0] <= self.now]
             self.timers = [timer for timer in self.timers if timer[0] > self.now]
             for _, token in due:
                 self.event(api.Timer(token))
-            self.no_answer_overdue()
+            self.check_no_answer_overdue()
         self.now = end
 
-    def no_answer_overdue(self) -> None:
-        for name, job in self.jobs.items():
-            assert job.over or job.stands or self.now <= job.deadline, f"no answer for {name} in time"
+    def check_no_answer_overdue(self) -> None:
+        for name, request in self.requests.items():
+            assert request.over or request.established or self.now <= request.deadline, f"no answer for {name} in time"
 
     def actions(self, kind: type) -> list[api.Action]:
-        return [action for _, action in self.seen if isinstance(action, kind)]
+        return [action for _, action in self.performed if isinstance(action, kind)]
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 
 import pytest
-from driver import BASE, MS, SECOND, Driver, Job, Try
+from driver import BASE, MS, SECOND, ClientRequest, Driver, SentAttempt
 
 from scaledeal import interface as api
 from scaledeal.cold_start import ColdStart, Slots
@@ -61,7 +61,9 @@
         driver = Driver(replace(SITE, me=me, siblings=self.relays), seed=me, servers=self.warm + self.dying)
         driver.probes_answered = False
         driver.balancer.cold_start = self.budget(driver.settings)
-        driver.jobs["old"] = Job(0, 0, [Try(driver.list["s0"], driver.now, 0)], stands=True)
+        driver.requests["old"] = ClientRequest(
+            0, 0, [SentAttempt(driver.listed["s0"], driver.now, 0)], established=True
+        )
         driver.event(api.OpenConnection("old", 0, "s0"))
         driver.event(api.Note("old", 0, "s0", api.NoteKind.LOAD, 1000.0))
         self._tell(driver)
@@ -69,7 +71,7 @@
 
     def _tell(self, driver: Driver) -> None:
         """Have a gateway read reports; its view of a capacity is wrong by half either way."""
-        for server in driver.list if self.reports else ():
+        for server in driver.listed if self.reports else ():
             if server not in self.dead:
                 asked = 0.0 if server in self.sends else ASKED * self.draw.uniform(0.9, 1.1)
                 told = asked, asked * HOLDS * self.draw.uniform(0.5, 1.5)
@@ -100,17 +102,17 @@
 
     def _settle(self, driver: Driver) -> list[int]:
         """Let every send have its outcome; return the classes of those that were refused."""
-        while out := driver.out():
+        while out := driver.pending():
             for name in out:
                 server = driver.server_of(name)
                 if server in self.sends:
-                    self.sends[server].append((driver.now - self.start, COSTS[driver.jobs[name].cls]))
+                    self.sends[server].append((driver.now - self.start, COSTS[driver.requests[name].cls]))
                 if server in self.dead:
                     driver.end(name, api.Result.CONNECT_FAILED)
                 else:
                     driver.establish(name)
-        over = [n for n, job in driver.jobs.items() if job.over and not job.stands]
-        return [driver.jobs.pop(name).cls for name in over]
+        over = [n for n, job in driver.requests.items() if job.over and not job.established]
+        return [driver.requests.pop(name).cls for name in over]
 
     def worst(self) -> float:
         """Return the fullest window of a second at one newcomer, over what the rule bears then."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 import pytest
-from driver import BASE, MS, SECOND, Driver, Job, Try, entries
+from driver import BASE, MS, SECOND, ClientRequest, Driver, SentAttempt, entries
 
 from scaledeal import interface as api
 from scaledeal.policy import MAX_WAITING_REQUESTS, Balancer
@@ -37,10 +37,10 @@
 
 def prime(driver: Driver) -> None:
     """Have a gateway know a load and the capacity of its servers."""
-    driver.jobs["old"] = Job(0, 0, [Try(driver.list["s0"], driver.now, 0)], stands=True)
+    driver.requests["old"] = ClientRequest(0, 0, [SentAttempt(driver.listed["s0"], driver.now, 0)], established=True)
     driver.event(api.OpenConnection("old", 0, "s0"))
     driver.event(api.Note("old", 0, "s0", api.NoteKind.LOAD, 1000.0))
-    for server in driver.list:
+    for server in driver.listed:
         answer(driver, server, 0.5)
 
 
@@ -62,13 +62,13 @@
                 answer(driver, server, 0.95)
             answer(driver, "new", 0.0)
             driver.arrive(f"r{turn}", key=f"k{turn}-{driver.settings.me}")
-            if driver.out():
-                driver.establish(driver.out()[0])
+            if driver.pending():
+                driver.establish(driver.pending()[0])
             driver.wait(step)
     return sorted(
         (at - start, 1)
         for driver in drivers
-        for at, action in driver.seen
+        for at, action in driver.performed
         if isinstance(action, api.Send) and action.server == "new"
     )
 
@@ -94,10 +94,10 @@
     driver.probes_answered = False
     driver.arrive("r", key="k")
     asked = [a.server for a in driver.actions(api.Probe)][-2:]
-    assert not driver.out() and len(set(asked)) == 2, "placed by an old report"
+    assert not driver.pending() and len(set(asked)) == 2, "placed by an old report"
     for server, load in zip(asked, (2.0, 0.1), strict=True):
         answer(driver, server, load)
-    assert driver.out() == ["r"] or driver.actions(api.Probe)[-1].server not in asked
+    assert driver.pending() == ["r"] or driver.actions(api.Probe)[-1].server not in asked
     driver.wait(200 * MS)
     assert driver.server_of("r") != asked[0], "the report was of no use"
 
@@ -107,9 +107,9 @@
     driver = fleet(servers=4)[0]
     driver.wait(4 * SECOND)
     driver.probes_answered = False
-    driver.jobs["r"] = Job(0, driver.now + 100 * MS)
+    driver.requests["r"] = ClientRequest(0, driver.now + 100 * MS)
     driver.event(api.Request("r", 0, driver.now + 100 * MS, key="k"))
-    assert driver.out() == ["r"], "held for a report that comes after its time"
+    assert driver.pending() == ["r"], "held for a report that comes after its time"
 
 
 def test_a_server_that_leaves_a_probe_unanswered_costs_no_set_up():
@@ -119,7 +119,7 @@
     driver.arrive("r", key="k")
     hung, well = [a.server for a in driver.actions(api.Probe)][-2:]
     answer(driver, well, 0.2)
-    assert not driver.out(), "the other one's report is still due"
+    assert not driver.pending(), "the other one's report is still due"
     driver.wait(100 * MS)
     assert driver.server_of("r") != hung
 
@@ -160,8 +160,8 @@
         driver.balancer.ladder._set_rates(driver.now, [1.0, 1.0])
         for turn in range(3):
             driver.arrive(f"r{turn}", key=f"k{turn}", returning=True)
-            taken += f"r{turn}" in driver.out()
-            if f"r{turn}" in driver.out():
+            taken += f"r{turn}" in driver.pending()
+            if f"r{turn}" in driver.pending():
                 driver.establish(f"r{turn}")
     assert taken >= 0.7 * 3 * MANY, f"{taken} of {3 * MANY} taken at a rung that takes a tenth off"
 
@@ -172,7 +172,7 @@
     for driver in drivers:
         driver.arrive("r", key=f"k{driver.settings.me}")
         driver.wait(850 * MS)
-    sends = sum(len(driver.jobs["r"].tries) for driver in drivers)
+    sends = sum(len(driver.requests["r"].attempts) for driver in drivers)
     assert sends <= 2 * MANY, f"{sends} attempts in 850 ms for {MANY} clients"
 
 
@@ -201,7 +201,7 @@
     driver.members(api.MembershipKind.CHANGES, (api.ServerEntry("new", started=driver.now),))
     driver.wait(2 * SECOND)
     driver.arrive("r")
-    assert driver.out() == ["r"]
+    assert driver.pending() == ["r"]
 
 
 def crowd(count: int, rate: int, newcomers: int, asked: float, seed: int) -> dict[str, list[int]]:
@@ -214,7 +214,7 @@
     start = drivers[0].now + SECOND
     news = tuple(api.ServerEntry(f"new{n}", started=start) for n in range(newcomers))
     sends: dict[str, list[int]] = {each.server: [] for each in news}
-    listed = drivers[0].list
+    listed = drivers[0].listed
     for driver in drivers:
         driver.wait(2 * SECOND)
         driver.members(api.MembershipKind.CHANGES, news)
@@ -238,8 +238,8 @@
             for _ in range(int(here) + (draw.random() < here % 1)):
                 number += 1
                 driver.arrive(f"r{number}", key="hot" if draw.random() < 0.15 else f"k{draw.randrange(400)}")
-                if driver.out():
-                    driver.establish(driver.out()[-1])
+                if driver.pending():
+                    driver.establish(driver.pending()[-1])
             driver.wait(50 * MS)
     for driver in drivers:
         note(driver, start, sends)
@@ -247,7 +247,7 @@
 
 
 def note(driver: Driver, start: int, sends: dict[str, list[int]]) -> None:
-    for at, action in driver.seen:
+    for at, action in driver.performed:
         if isinstance(action, api.Send) and action.server in sends:
             sends[action.server].append(at - start)
 
