--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -214,7 +214,7 @@
         self.seen.append(event)
         return self.reply(event)
 
-    def rotation(self) -> tuple[int, int]:
+    def rotation_counts(self) -> tuple[int, int]:
         return 2, 0
 
     def of(self, kind: type) -> list[Any]:
