--- a/scaledeal/policy.py
+++ b/scaledeal/policy.py
@@ -275,7 +275,9 @@
             api.ClientGone: self._on_client_gone,
         }
         self.started = -1
-        self.took_over_open = False  # whether connections that no predecessor handed over were open at the start
+        self.had_connections_at_start = (
+            False  # whether connections that no predecessor handed over were open at the start
+        )
         self.now = self.pending = 0  # current time; set-ups under way
         bucket_kinds = ((False, 1.0), (True, settings.over_share_worth))
         self.ladder = Ladder(
@@ -293,7 +295,7 @@
         self.cold_start = ColdStart(settings)
         self.next_step_at = self.next_watch_at = self.watch_failures = self.slot_timer_at = 0
         # Utilisation up to which a server keeps its groups; capacity for weight 1, in units of load
-        self.group_limit, self.unit_capacity = GROUP_MAX_UTILISATION, 0.0
+        self.group_max_utilisation, self.unit_capacity = GROUP_MAX_UTILISATION, 0.0
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Process one event and return the actions to carry out, in order.
@@ -578,7 +580,7 @@
         """Tell whether a server is too loaded for more connections with this key; ``mean`` is the fleet's mean load."""
         utilisation = self.utilisation(server)
         if utilisation is not None and (utilisation > GROUP_MAX_UTILISATION or self.unit_capacity):
-            return utilisation > self.group_limit
+            return utilisation > self.group_max_utilisation
         load = self._own_load(server)
         near_slow_load = 0 < SLOW_LOAD_SHARE * server.slow_load < load
         # A relay that has just started has no reports yet, and could fill one server with a group before the first.
@@ -635,7 +637,7 @@
         # After a restart, or with a rate of a few set-ups, the buckets would turn away clients that were connected
         # before.
         few = 0 < sum(self.ladder.estimate.values()) * ESTIMATE_WINDOW_NS < MIN_SET_UPS_FOR_RATE * SECOND
-        return few or (not self.took_over_open and self.now - self.started < ESTIMATE_WINDOW_NS)
+        return few or (not self.had_connections_at_start and self.now - self.started < ESTIMATE_WINDOW_NS)
 
     def _is_over_share(self, tenant: int) -> bool:
         quota = self.settings.tenants[tenant].open_connections if self.settings.tenants else 0.0
@@ -801,7 +803,7 @@
         if (server := self.servers.get(event.server)) is None:
             server = self._add_server(event.server)
             server.state = api.ServerState.GONE
-        self.took_over_open |= not event.inherited
+        self.had_connections_at_start |= not event.inherited
         request = self._track_request(event, 0)
         request.attempts.append(Attempt(server, self.now))
         request.established = True
@@ -838,7 +840,7 @@
         if self.probe_tokens >= 1 + PLACEMENT_PROBE_RESERVE:
             due = sorted((s for s in self.live if s.next_probe_at <= self.now), key=lambda s: s.next_probe_at)
             self._probe(due, PLACEMENT_PROBE_RESERVE)
-        self.group_limit = max(GROUP_MAX_UTILISATION, GROUP_MEAN_FACTOR * self.ladder.last_index / 100)
+        self.group_max_utilisation = max(GROUP_MAX_UTILISATION, GROUP_MEAN_FACTOR * self.ladder.last_index / 100)
         self._sample_index()
         self._move_from_draining()
         self._move_from_saturated()
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -71,7 +71,7 @@
     for number in range(5):
         driver.event(api.OpenConnection(f"old-{number}", 0, far, group="map", inherited=True))
         driver.event(api.Note(f"old-{number}", 0, far, api.NoteKind.LOAD, 900.0))
-    assert not driver.balancer.took_over_open, "returning clients are admitted by share, as after a restart"
+    assert not driver.balancer.had_connections_at_start, "returning clients are admitted by share, as after a restart"
     driver.arrive("r", key="x", group="map")
     assert driver.server_of("r") == far
     assert driver.balancer.unit_capacity == 0.0
