--- a/scaledeal/policy.py
+++ b/scaledeal/policy.py
@@ -275,9 +275,7 @@
             api.ClientGone: self._on_client_gone,
         }
         self.started = -1
-        self.had_connections_at_start = (
-            False  # whether connections that no predecessor handed over were open at the start
-        )
+        self.had_connections_at_start = False  # other than those handed over by a predecessor
         self.now = self.pending = 0  # current time; set-ups under way
         bucket_kinds = ((False, 1.0), (True, settings.over_share_worth))
         self.ladder = Ladder(
