--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -380,7 +380,7 @@
         left = running.process.held - OWN - listening - watching
         fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
         fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
-        fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.flights), fleet.kernel.now)
+        fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.requests), fleet.kernel.now)
         fleet.checker.resources_left(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
 
 
