--- a/scaledeal/quic/__init__.py
+++ b/scaledeal/quic/__init__.py
@@ -1,9 +1,11 @@
-"""QUIC flows, placed by connection id under the rules that text lines keep.
+"""Routes QUIC flows by connection id, under the same promises as connections of the line protocol.
 
-In the order of reading: ``wire`` (bytes), ``ids`` (what a connection id says, and the keys), ``core`` (the
-choices: rules, table, router; no I/O, no clock of its own), ``sockets`` (Twisted, and the ties to ``net``).
-Imports point that way only: core knows wire and ids, sockets know all three and ``scaledeal.net``.
+Read the packages in this order: ``wire`` (bytes), ``ids`` (the content of connection ids, and the keys), ``core``
+(routing decisions: rules, table, router; no I/O, no clock of its own), ``sockets`` (Twisted, and the connection to
+``scaledeal.net``). Imports go that way only: ``core`` uses ``wire`` and ``ids``; ``sockets`` uses all three and
+``scaledeal.net``.
 
-Promised: each flow gets exactly one final answer; never two attempts at once; the state that strangers can make is
-bounded in entries, bytes and descriptors. Off on the platform, where nothing imports it.
+Guarantees: each flow gets exactly one final answer; a flow never has two attempts at the same time; the state that
+unauthenticated senders can create is bounded in entries, bytes and descriptors. Disabled on the platform, where
+nothing imports this package.
 """
--- a/scaledeal/quic/core/__init__.py
+++ b/scaledeal/quic/core/__init__.py
@@ -1,5 +1,5 @@
-"""The choices of the QUIC side: no I/O, and no clock but the ``now`` that is handed in (ns).
+"""The decisions of the QUIC side: no I/O, and no clock but the ``now`` that callers pass in (ns).
 
-``rules`` makes a request of a ClientHello, ``table`` bounds and finds what is known, ``router`` turns one datagram
-into verdicts for the sockets to carry out. Which server a flow goes to is not chosen here but in ``policy.py``.
+``rules`` turns a ClientHello into a request, ``table`` stores and bounds the known flows, paths and ids, ``router``
+turns one datagram into verdicts that the sockets carry out. The server of a flow is chosen in ``policy.py``, not here.
 """
--- a/scaledeal/quic/core/rules.py
+++ b/scaledeal/quic/core/rules.py
@@ -1,4 +1,4 @@
-"""What a ClientHello asks the decision module for, by the operators' rules."""
+"""Maps a ClientHello to a request for the decision module, by the operators' rules."""
 
 from __future__ import annotations
 
@@ -9,41 +9,43 @@
 from scaledeal.quic.wire.hello import ClientHello
 
 
-class Wish(msgspec.Struct, frozen=True):
-    """A request but for its moment; ``deadline`` is a span in ns."""
+class RuleMatch(msgspec.Struct, frozen=True):
+    """The request that a rule yields for a ClientHello; ``timeout_ns`` is relative, so no arrival time is needed."""
 
     request_class: int
-    deadline: int
+    timeout_ns: int
     key: str
     group: str
     tenant: int
     rule: str
 
 
-class Placing:
-    """The rules, with the classes' numbers and give-up times (ns)."""
+class RuleMatcher:
+    """Matches ClientHellos against the rules; ``classes`` maps a class's name to its number and deadline (ns)."""
 
     def __init__(self, quic: Quic, classes: dict[str, tuple[int, int]]) -> None:
         self.rules = quic.rule
         self.classes = classes
 
-    def wish(self, hello: ClientHello, source: Source, dcid: bytes) -> Wish | None:
-        """Return what the first matching rule asks for; None where none matches."""
-        rule = next((each for each in self.rules if _matches(each, hello)), None)
+    def match(self, hello: ClientHello, source: Source, dcid: bytes) -> RuleMatch | None:
+        """Return the request of the first matching rule; None if none matches or its class is not configured."""
+        rule = next((candidate for candidate in self.rules if _matches(candidate, hello)), None)
         if rule is None or rule.class_name not in self.classes:
             return None
-        number, longest = self.classes[rule.class_name]
-        deadline = min(int(rule.deadline), longest) if rule.deadline is not None else longest
-        return Wish(number, deadline, _key(rule, hello, source, dcid), _group(rule, hello), rule.tenant, rule.name)
+        number, class_timeout_ns = self.classes[rule.class_name]
+        timeout_ns = min(int(rule.deadline), class_timeout_ns) if rule.deadline is not None else class_timeout_ns
+        return RuleMatch(
+            number, timeout_ns, _key(rule, hello, source, dcid), _group(rule, hello), rule.tenant, rule.name
+        )
 
 
 def _matches(rule: QuicRule, hello: ClientHello) -> bool:
-    named = not rule.sni or any(name_matches(pattern, hello.server_name) for pattern in rule.sni)
-    return named and (not rule.alpn or any(each in hello.protocols for each in rule.alpn))
+    server_name_matches = not rule.sni or any(name_matches(pattern, hello.server_name) for pattern in rule.sni)
+    return server_name_matches and (not rule.alpn or any(protocol in hello.protocols for protocol in rule.alpn))
 
 
 def name_matches(pattern: str, name: str) -> bool:
-    """Tell whether a server name is this one, or one label below ``*.NAME`` (RFC 6125 section 6.4.3)."""
+    """Tell whether a server name equals the pattern, or is one label below ``*.NAME`` (RFC 6125 section 6.4.3)."""
     pattern = pattern.lower()
     if pattern.startswith("*."):
         return name.partition(".")[2] == pattern[2:] and bool(name.partition(".")[0])
@@ -53,7 +55,7 @@
 def _key(rule: QuicRule, hello: ClientHello, source: Source, dcid: bytes) -> str:
     if rule.key_from == "sni":
         return hello.server_name
-    # An address without its port: all of a client's flows rank the servers alike.
+    # The address without its port, so that all flows of a client rank the servers alike.
     return source[0] if rule.key_from == "address" else dcid.hex()
 
 
--- a/scaledeal/quic/core/table.py
+++ b/scaledeal/quic/core/table.py
@@ -1,11 +1,12 @@
-"""What is known of flows, paths and ids, with a bound on each; no I/O, and times in ns are handed in.
+"""The tables of flows, paths and connection ids, each with an upper bound. No I/O; callers pass times in ns.
 
-Theory of operation. A *path* is a client's address and the upstream socket that is its own; a *flow* has one or
-more paths and one server. A datagram finds its path by (source, id); failing that its flow by id, and so on down
-to an id that only the codec knows. Nothing is looked for by a scan: an entry costs the same among ten thousand.
+Theory of operation. A *path* is a client address with an upstream socket of its own; a *flow* has one or more paths
+and one server. A datagram's path is looked up by (source, id); failing that, its flow by id, and so on down to an id
+that only the codec can decode. No lookup scans a table: its cost does not grow with the number of entries.
 
-A path ends when it has been idle, when its flow ends, or when an unproven one gives way to a newer one. Unproven is
-a path on which the client has not spoken again after the server did: all that a stranger's copies can make.
+A path is removed when it has been idle, when its flow ends, or when it is unvalidated and a newer path evicts it. A
+path is unvalidated until the client has sent again after the server responded on it; copies of datagrams that a
+stranger sends can only create unvalidated paths.
 """
 
 from __future__ import annotations
@@ -14,298 +15,318 @@
 from enum import Enum
 from typing import Any
 
-from scaledeal.quic.core.opening import Opening
+from scaledeal.quic.core.first_flight import FirstFlight
 from scaledeal.quic.ids.tokens import Source
 
-SECOND = 1_000_000_000
-IDS_A_FLOW = 16  # ids remembered of one flow; an older one is still routed by what it says
-AMPLIFY = 3  # bytes out for each one in before a client's address is proven (RFC 9000 section 8)
+NS_PER_SECOND = 1_000_000_000
+MAX_IDS_PER_FLOW = 16  # the oldest id is forgotten beyond that; it is still routed by the server id encoded in it
+AMPLIFICATION_LIMIT = 3  # bytes sent per byte received until a client's address is validated (RFC 9000 section 8)
 
 
-class State(Enum):
-    """Where a flow stands; the table in docs/quic.md has the transitions."""
+class FlowState(Enum):
+    """State of a flow; the table in docs/quic.md lists the transitions."""
 
-    OPENING = 1
-    ASKED = 2
-    STANDING = 3
-    ANSWERED = 4
-    OVER = 5
+    AWAITING_HELLO = 1
+    REQUESTED = 2
+    ESTABLISHED = 3
+    REJECTED = 4
+    CLOSED = 5
 
 
-_NEXT = {
-    State.OPENING: {State.ASKED, State.ANSWERED, State.OVER},
-    State.ASKED: {State.STANDING, State.ANSWERED, State.OVER},
-    State.STANDING: {State.OVER},
-    State.ANSWERED: {State.OVER},
-    State.OVER: set(),
+_TRANSITIONS = {
+    FlowState.AWAITING_HELLO: {FlowState.REQUESTED, FlowState.REJECTED, FlowState.CLOSED},
+    FlowState.REQUESTED: {FlowState.ESTABLISHED, FlowState.REJECTED, FlowState.CLOSED},
+    FlowState.ESTABLISHED: {FlowState.CLOSED},
+    FlowState.REJECTED: {FlowState.CLOSED},
+    FlowState.CLOSED: set(),
 }
 
 
 class Path:
     """One client address of a flow."""
 
-    __slots__ = ("answered", "cid", "due", "flow", "proven", "received", "seen", "sent", "source", "upstream")
+    __slots__ = (
+        "server_responded",
+        "cid",
+        "due_second",
+        "flow",
+        "validated",
+        "received_bytes",
+        "last_seen",
+        "sent_bytes",
+        "source",
+        "upstream",
+    )
 
     def __init__(self, flow: Flow, source: Source, now: int) -> None:
         self.flow = flow
         self.source = source
-        self.cid = b""  # the id that the client last began to use on it
-        self.received = 0  # bytes from the client, until it is proven
-        self.sent = 0  # bytes to the client, until then
-        self.answered = False  # the server has spoken on it
-        self.proven = False  # the client has heard that
-        self.seen = now
-        self.due = -1  # the second in which it is looked at next
-        self.upstream: Any = None  # the sockets' side keeps its socket here
+        self.cid = b""  # the destination id that the client most recently started to use on this path
+        self.received_bytes = 0  # from the client, counted until the path is validated
+        self.sent_bytes = 0  # to the client, counted until the path is validated
+        self.server_responded = False  # the server has sent a datagram on this path
+        self.validated = False  # the client has sent again after receiving the server's response
+        self.last_seen = now
+        self.due_second = -1  # the second of the next timer check; -1 without one
+        self.upstream: Any = None  # the path's upstream socket, set by ``sockets``
 
 
 class Flow:
-    """One QUIC connection, as far as a relay can tell one."""
+    """One QUIC connection, as far as a relay can identify one."""
 
     __slots__ = (
         "adopted",
         "agent",
-        "answer",
-        "attempt",
+        "final_answer",
+        "attempt_path",
         "dcid",
-        "due",
-        "early",
-        "frozen",
+        "due_second",
+        "early_server_datagrams",
+        "sending_stopped",
         "ids",
-        "opening",
+        "first_flight",
         "paths",
-        "proven",
-        "repeats",
+        "address_validated",
+        "repeat_count",
         "scid",
         "server",
-        "since",
+        "state_since",
         "source",
         "state",
         "version",
     )
 
-    def __init__(self, source: Source, dcid: bytes, now: int, state: State) -> None:
+    def __init__(self, source: Source, dcid: bytes, now: int, state: FlowState) -> None:
         self.source = source
-        self.dcid = dcid  # the client's first destination id; empty of an adopted flow
+        self.dcid = dcid  # the client's first destination id; empty for an adopted flow
         self.scid = b""
         self.version = 0
         self.state = state
-        self.since = now  # when it came into this state
+        self.state_since = now  # when the flow entered this state
         self.server = ""
-        self.opening: Opening | None = None
-        self.attempt: Path | None = None  # the path of the pass that is out
-        self.proven = False  # a Retry token has proven its client's address
-        self.frozen = False  # its server drains: nothing more is sent there before it answers
-        self.early: list[bytes] = []  # what a server sent before its answer came
-        self.answer = b""  # the final answer, for repeats
-        self.repeats = 0
+        self.first_flight: FirstFlight | None = None
+        self.attempt_path: Path | None = None  # the path of the attempt in progress
+        self.address_validated = False  # a Retry token has validated the client's address
+        self.sending_stopped = False  # the server drains: it gets nothing more before it answers
+        self.early_server_datagrams: list[bytes] = []  # received from the server before its answer
+        self.final_answer = b""  # the rejection that is sent again for repeated Initials
+        self.repeat_count = 0  # datagrams received after the rejection
         self.adopted = not dcid
-        self.due = -1  # the second in which it is looked at next
+        self.due_second = -1  # the second of the next timer check; -1 without one
         self.paths: dict[Source, Path] = {}
         self.ids: list[bytes] = []
-        self.agent: Any = None  # the sockets' side keeps its agent here
+        self.agent: Any = None  # the flow's QuicAgent, set by ``sockets``
 
-    def turn(self, state: State, now: int) -> None:
-        """Go on to another state; a step that is none of the table's is a defect."""
-        assert state in _NEXT[self.state], f"{self.state.name} to {state.name}"
-        self.state, self.since = state, now
+    def set_state(self, state: FlowState, now: int) -> None:
+        """Enter another state; a transition that is not in the table is a defect."""
+        assert state in _TRANSITIONS[self.state], f"{self.state.name} to {state.name}"
+        self.state, self.state_since = state, now
 
 
 class FlowTable:
-    """Owns all flows, paths and known ids."""
+    """Owns all flows, paths and known connection ids."""
 
-    def __init__(self, max_flows: int, max_paths: int, paths_a_flow: int, idle: int) -> None:
-        self.max_flows, self.max_paths, self.paths_a_flow = max_flows, max_paths, paths_a_flow
-        self.idle = idle
+    def __init__(self, max_flows: int, max_paths: int, max_paths_per_flow: int, idle_timeout_ns: int) -> None:
+        self.max_flows, self.max_paths, self.max_paths_per_flow = max_flows, max_paths, max_paths_per_flow
+        self.idle_timeout_ns = idle_timeout_ns
         self.flows: dict[Flow, None] = {}
-        self.by_opening: dict[tuple[Source, bytes], Flow] = {}
+        self.by_initial_dcid: dict[tuple[Source, bytes], Flow] = {}
         self.by_id: dict[bytes, Flow] = {}
-        self.by_peer: dict[tuple[Source, str], Flow] = {}
+        self.by_source_and_server: dict[tuple[Source, str], Flow] = {}
         self.by_source: dict[Source, Flow] = {}
         self.by_server: dict[str, dict[Flow, None]] = {}
         self.routes: dict[tuple[Source, bytes], Path] = {}
-        self.unproven: OrderedDict[Path, None] = OrderedDict()
-        self.paths = 0
-        self.under_way = 0  # set-ups that are owed an answer
-        self._wheel: dict[int, dict[Path | Flow, None]] = {}
-        self._turned = -1  # the second up to which the wheel has been turned
+        self.unvalidated: OrderedDict[Path, None] = OrderedDict()
+        self.path_count = 0
+        self.pending_setups = 0  # set-ups that have not received their final answer
+        self._wheel: dict[int, dict[Path | Flow, None]] = {}  # timer wheel: second to the entries due in it
+        self._wheel_second = -1  # the last second that has been processed
 
     # Flows
 
-    def full(self) -> bool:
-        """Tell whether there is room for another flow."""
+    def is_full(self) -> bool:
+        """Tell whether the table holds its maximum number of flows."""
         return len(self.flows) >= self.max_flows
 
-    def open(self, source: Source, dcid: bytes, now: int) -> Flow:
-        """Enter a flow that begins."""
-        flow = Flow(source, dcid, now, State.OPENING)
+    def create_flow(self, source: Source, dcid: bytes, now: int) -> Flow:
+        """Add a flow whose set-up begins."""
+        flow = Flow(source, dcid, now, FlowState.AWAITING_HELLO)
         self.flows[flow] = None
-        self.by_opening[source, dcid] = flow
-        self.under_way += 1
+        self.by_initial_dcid[source, dcid] = flow
+        self.pending_setups += 1
         return flow
 
-    def adopt(self, source: Source, server: str, now: int) -> Flow:
-        """Enter a flow that stands already, as an id says."""
-        flow = Flow(source, b"", now, State.STANDING)
+    def adopt_flow(self, source: Source, server: str, now: int) -> Flow:
+        """Add an established flow whose server is known from a connection id."""
+        flow = Flow(source, b"", now, FlowState.ESTABLISHED)
         self.flows[flow] = None
-        self.place(flow, server)
+        self.set_server(flow, server)
         return flow
 
-    def place(self, flow: Flow, server: str) -> None:
-        """Note at which server a flow is, or is tried."""
+    def set_server(self, flow: Flow, server: str) -> None:
+        """Record the server that a flow is at, or that is being tried for it."""
         if flow.server:
             self.by_server[flow.server].pop(flow, None)
         flow.server = server
         self.by_server.setdefault(server, {})[flow] = None
 
-    def turn(self, flow: Flow, state: State, now: int) -> None:
-        """Have a flow go on to another state."""
-        if flow.state in (State.OPENING, State.ASKED) and state not in (State.OPENING, State.ASKED):
-            self.under_way -= 1
-        flow.turn(state, now)
-
-    def forget(self, flow: Flow, now: int) -> list[Path]:
-        """Take a flow off with all that was known by it; return its paths, whose sockets are to close."""
-        if flow.state is State.OVER:
+    def set_state(self, flow: Flow, state: FlowState, now: int) -> None:
+        """Move a flow to another state and keep the count of pending set-ups."""
+        if flow.state in (FlowState.AWAITING_HELLO, FlowState.REQUESTED) and state not in (
+            FlowState.AWAITING_HELLO,
+            FlowState.REQUESTED,
+        ):
+            self.pending_setups -= 1
+        flow.set_state(state, now)
+
+    def remove_flow(self, flow: Flow, now: int) -> list[Path]:
+        """Remove a flow and all of its index entries; return its paths, whose sockets the caller closes."""
+        if flow.state is FlowState.CLOSED:
             return []
-        self.turn(flow, State.OVER, now)
-        self.unwatch(flow)
+        self.set_state(flow, FlowState.CLOSED, now)
+        self.unschedule(flow)
         self.flows.pop(flow, None)
-        self.by_opening.pop((flow.source, flow.dcid), None)
+        self.by_initial_dcid.pop((flow.source, flow.dcid), None)
         if flow.server and flow in self.by_server.get(flow.server, {}):
             del self.by_server[flow.server][flow]
             if not self.by_server[flow.server]:
                 del self.by_server[flow.server]
         closed = list(flow.paths.values())
         for path in closed:
-            self.drop(path)
+            self.remove_path(path)
         for cid in flow.ids:
             self.by_id.pop(cid, None)
-        flow.opening, flow.attempt, flow.early = None, None, []
+        flow.first_flight, flow.attempt_path, flow.early_server_datagrams = None, None, []
         return closed
 
     # Paths
 
-    def path(self, flow: Flow, source: Source, now: int) -> tuple[Path, list[Path]]:
-        """Return the flow's path from this source, made where there is none, and those that gave way to it."""
+    def get_or_create_path(self, flow: Flow, source: Source, now: int) -> tuple[Path, list[Path]]:
+        """Return the flow's path from this source, creating it if needed, and the paths evicted to make room for it."""
         found = flow.paths.get(source)
         if found is not None:
             return found, []
-        away = self._make_room(flow)
+        evicted = self._make_room(flow)
         path = Path(flow, source, now)
         flow.paths[source] = path
-        self.paths += 1
-        self.unproven[path] = None
-        # Guards against a copy from another client's address that takes that client's entries over.
+        self.path_count += 1
+        self.unvalidated[path] = None
+        # An existing entry stays: a datagram of this flow copied from another client's address must not take over
+        # that client's entries.
         self.by_source.setdefault(source, flow)
-        if flow.state is State.STANDING:
-            self.by_peer.setdefault((source, flow.server), flow)
-        self.watch(path, now + self.idle)
-        return path, away
+        if flow.state is FlowState.ESTABLISHED:
+            self.by_source_and_server.setdefault((source, flow.server), flow)
+        self.schedule(path, now + self.idle_timeout_ns)
+        return path, evicted
+
+    def set_primary_at_source(self, flow: Flow) -> None:
+        """Point the source's index entries at this flow; call it when a server has answered the flow there.
 
-    def vouch(self, flow: Flow) -> None:
-        """Hear that a server has answered a flow at its source: its entries go before a copy's."""
-        self.by_source[flow.source] = self.by_peer[flow.source, flow.server] = flow
+        They replace entries that a copied datagram of another flow has created.
+        """
+        self.by_source[flow.source] = self.by_source_and_server[flow.source, flow.server] = flow
 
-    def room_for_path(self, flow: Flow) -> bool:
-        """Tell whether a path of this flow can be made, if need be in place of one that is unproven."""
-        if len(flow.paths) >= self.paths_a_flow:
-            return True  # one of its own gives way
-        return self.paths < self.max_paths or bool(self.unproven)
+    def has_room_for_path(self, flow: Flow) -> bool:
+        """Tell whether a path can be added to this flow, by evicting an unvalidated one if necessary."""
+        if len(flow.paths) >= self.max_paths_per_flow:
+            return True  # one of the flow's own paths is evicted
+        return self.path_count < self.max_paths or bool(self.unvalidated)
 
     def _make_room(self, flow: Flow) -> list[Path]:
-        away: list[Path] = []
-        if len(flow.paths) >= self.paths_a_flow:
-            # Guards against copies from spoofed sources: they push out each other, the client's own path last.
-            oldest = min(flow.paths.values(), key=lambda each: (each.proven, each.seen))
-            away.append(oldest)
-            self.drop(oldest)
-        elif self.paths >= self.max_paths and self.unproven:
-            oldest = next(iter(self.unproven))
-            away.append(oldest)
-            self.drop(oldest)
-        return away
-
-    def drop(self, path: Path) -> None:
-        """Take a path off; its flow stays, even without any."""
+        evicted: list[Path] = []
+        if len(flow.paths) >= self.max_paths_per_flow:
+            # Unvalidated paths are evicted first, then the least recently used: copies from spoofed sources evict
+            # each other before the client's own path.
+            oldest = min(flow.paths.values(), key=lambda candidate: (candidate.validated, candidate.last_seen))
+            evicted.append(oldest)
+            self.remove_path(oldest)
+        elif self.path_count >= self.max_paths and self.unvalidated:
+            oldest = next(iter(self.unvalidated))
+            evicted.append(oldest)
+            self.remove_path(oldest)
+        return evicted
+
+    def remove_path(self, path: Path) -> None:
+        """Remove a path; its flow stays, even without any path left."""
         flow = path.flow
         if flow.paths.get(path.source) is not path:
             return
         del flow.paths[path.source]
-        self.paths -= 1
-        self.unwatch(path)
-        self.unproven.pop(path, None)
+        self.path_count -= 1
+        self.unschedule(path)
+        self.unvalidated.pop(path, None)
         for cid in flow.ids:
             if self.routes.get((path.source, cid)) is path:
                 del self.routes[path.source, cid]
         if self.by_source.get(path.source) is flow:
             del self.by_source[path.source]
-        if self.by_peer.get((path.source, flow.server)) is flow:
-            del self.by_peer[path.source, flow.server]
+        if self.by_source_and_server.get((path.source, flow.server)) is flow:
+            del self.by_source_and_server[path.source, flow.server]
 
-    def guard(self, path: Path) -> None:
-        """Have a path give way to no other: an attempt is out on it, which its server must hear the end of."""
-        self.unproven.pop(path, None)
+    def pin_path(self, path: Path) -> None:
+        """Exempt a path from eviction: it carries an attempt, whose end must be sent to its server."""
+        self.unvalidated.pop(path, None)
 
-    def unguard(self, path: Path) -> None:
-        """Hear that the attempt has been answered."""
-        if not path.proven:
-            self.unproven[path] = None
+    def unpin_path(self, path: Path) -> None:
+        """Make a path evictable again unless it is validated; call it when the attempt has been answered."""
+        if not path.validated:
+            self.unvalidated[path] = None
 
-    def prove(self, path: Path) -> None:
-        """Hear that the client answers on a path what the server said there."""
-        path.proven = True
-        self.unproven.pop(path, None)
+    def mark_validated(self, path: Path) -> None:
+        """Mark a path as validated: the client has answered what the server sent on it."""
+        path.validated = True
+        self.unvalidated.pop(path, None)
 
     # Ids
 
-    def learn(self, flow: Flow, cid: bytes) -> None:
-        """Remember an id of a flow; the oldest gives way."""
+    def add_id(self, flow: Flow, cid: bytes) -> None:
+        """Add a connection id to a flow; beyond ``MAX_IDS_PER_FLOW`` the oldest is removed."""
         if not cid or self.by_id.get(cid) is flow:
             return
-        if cid in self.by_id:  # guards against a server that gives one id to two flows: the older one keeps it
+        if cid in self.by_id:  # a faulty server gave one id to two flows: the older flow keeps it
             return
-        if len(flow.ids) >= IDS_A_FLOW:
-            old = flow.ids.pop(0)
-            self.by_id.pop(old, None)
+        if len(flow.ids) >= MAX_IDS_PER_FLOW:
+            oldest = flow.ids.pop(0)
+            self.by_id.pop(oldest, None)
             for source in flow.paths:
-                self.routes.pop((source, old), None)
+                self.routes.pop((source, oldest), None)
         flow.ids.append(cid)
         self.by_id[cid] = flow
 
-    def route(self, path: Path, cid: bytes) -> None:
-        """Have datagrams of this id and source go this way at once."""
+    def add_route(self, path: Path, cid: bytes) -> None:
+        """Route datagrams with this id from the path's source directly to this path."""
         if self.by_id.get(cid) is path.flow:
             self.routes[path.source, cid] = path
         path.cid = cid
 
     # Time
 
-    def watch(self, what: Path | Flow, due: int) -> None:
-        """Look at a path or flow again at about this time."""
-        self.unwatch(what)
-        what.due = due // SECOND + 1
-        self._wheel.setdefault(what.due, {})[what] = None
-
-    def unwatch(self, what: Path | Flow) -> None:
-        """Look at it no more."""
-        # Guards against memory that grows with what strangers send: an entry goes when its path does.
-        if (bucket := self._wheel.get(what.due)) is not None:
-            bucket.pop(what, None)
+    def schedule(self, entry: Path | Flow, due_ns: int) -> None:
+        """Have ``pop_due`` return a path or flow within about a second of this time; replaces an earlier time."""
+        self.unschedule(entry)
+        entry.due_second = due_ns // NS_PER_SECOND + 1
+        self._wheel.setdefault(entry.due_second, {})[entry] = None
+
+    def unschedule(self, entry: Path | Flow) -> None:
+        """Remove a path or flow from the timer wheel."""
+        # The wheel entry is deleted with its path; if it stayed until it was due, memory would grow with the rate of
+        # datagrams from strangers.
+        if (bucket := self._wheel.get(entry.due_second)) is not None:
+            bucket.pop(entry, None)
             if not bucket:
-                del self._wheel[what.due]
-        what.due = -1
-
-    def due(self, now: int) -> list[Path | Flow]:
-        """Return what was to be looked at by now; the caller looks and may have it watched again."""
-        second = now // SECOND
-        if self._turned < 0 or second - self._turned > len(self._wheel):
-            # Guards against turning through every second of a clock that has jumped.
-            late = sorted(each for each in self._wheel if each <= second)
+                del self._wheel[entry.due_second]
+        entry.due_second = -1
+
+    def pop_due(self, now: int) -> list[Path | Flow]:
+        """Remove and return the entries due by now; the caller checks them and may schedule them again."""
+        second = now // NS_PER_SECOND
+        if self._wheel_second < 0 or second - self._wheel_second > len(self._wheel):
+            # After a jump of the clock, going through every second in between would take too long.
+            due_seconds = sorted(key for key in self._wheel if key <= second)
         else:
-            late = [each for each in range(self._turned + 1, second + 1) if each in self._wheel]
-        self._turned = max(self._turned, second)
-        found = [what for each in late for what in self._wheel.pop(each)]
-        for what in found:
-            what.due = -1
+            due_seconds = [key for key in range(self._wheel_second + 1, second + 1) if key in self._wheel]
+        self._wheel_second = max(self._wheel_second, second)
+        found = [entry for key in due_seconds for entry in self._wheel.pop(key)]
+        for entry in found:
+            entry.due_second = -1
         return found
--- a/scaledeal/quic/core/verdicts.py
+++ b/scaledeal/quic/core/verdicts.py
@@ -1,4 +1,4 @@
-"""What the router wants done with a datagram; the sockets carry it out."""
+"""The router's verdicts: what is to be done with a datagram. The sockets carry them out."""
 
 from __future__ import annotations
 
@@ -9,61 +9,61 @@
 
 
 class ToServer(msgspec.Struct, frozen=True):
-    """Send these to the path's server, from the path's own socket; it is opened where there is none."""
+    """Send datagrams to the path's server from the path's own socket, which is opened if there is none."""
 
     path: Path
     datagrams: tuple[bytes, ...]
 
 
 class ToClient(msgspec.Struct, frozen=True):
-    """Send this to a client, from the address at which it came in."""
+    """Send a datagram to a client, from the address that clients send to."""
 
     source: Source
     datagram: bytes
 
 
-class Ask(msgspec.Struct, frozen=True):
-    """Its ClientHello is whole: ask the decision module."""
+class RequestServer(msgspec.Struct, frozen=True):
+    """Ask the decision module for a server: the flow's ClientHello is complete."""
 
     flow: Flow
 
 
 class Adopt(msgspec.Struct, frozen=True):
-    """An id says where it stands: tell the module of an open connection."""
+    """Register an open connection with the decision module: a connection id gave the flow's server."""
 
     flow: Flow
 
 
-class Served(msgspec.Struct, frozen=True):
-    """The server's first flight has come: it is the final answer, and the flow stands."""
+class Established(msgspec.Struct, frozen=True):
+    """Report that the server's first flight has arrived: it is the final answer, and the flow is established."""
 
     flow: Flow
 
 
-class TurnedAway(msgspec.Struct, frozen=True):
-    """The server closed before it answered."""
+class ServerClosed(msgspec.Struct, frozen=True):
+    """Report that the server closed the connection before it answered."""
 
     flow: Flow
-    refused: bool  # with CONNECTION_REFUSED: it has not run
+    refused: bool  # closed with CONNECTION_REFUSED: the request has not run
 
 
-class Shut(msgspec.Struct, frozen=True):
+class ClosePath(msgspec.Struct, frozen=True):
     """Close the path's socket."""
 
     path: Path
 
 
-class Over(msgspec.Struct, frozen=True):
-    """Nothing of the flow is left."""
+class FlowClosed(msgspec.Struct, frozen=True):
+    """Report that the router has removed the flow."""
 
     flow: Flow
-    lost: bool  # its server is gone, not its client
+    lost: bool  # the server is gone, not the client
 
 
 class Drop(msgspec.Struct, frozen=True):
-    """Count it, and do nothing."""
+    """Count the datagram under ``why`` and drop it."""
 
     why: str
 
 
-Verdict = ToServer | ToClient | Ask | Adopt | Served | TurnedAway | Shut | Over | Drop
+Verdict = ToServer | ToClient | RequestServer | Adopt | Established | ServerClosed | ClosePath | FlowClosed | Drop
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -31,8 +31,8 @@
     def begin(self, wait: int) -> QuicAttempt:
         """Send all that the client has sent; the whole attempt may wait so many nanoseconds."""
         self.timer = self.side.reactor.callLater(wait / 1e9, self.failed, api.Result.TIMEOUT)
-        sent = self.side.carry_out(self.side.router.attempt(self.flow, self.events.server, self.side.now()))
-        if sent and self.flow.attempt is not None:
+        sent = self.side.carry_out(self.side.router.begin_attempt(self.flow, self.events.server, self.side.now()))
+        if sent and self.flow.attempt_path is not None:
             self.events.written()
         else:
             # Later, as the transaction does not hold this attempt yet.
@@ -65,7 +65,7 @@
     def withdraw(self, result: api.Result = api.Result.CONNECT_FAILED) -> None:
         """Send nothing more to a server that wants nothing new or whose client left, unless it answers what it has."""
         if not self.stands:
-            self.side.router.freeze(self.flow)
+            self.side.router.stop_sending(self.flow)
 
     def leave(self, broke: bool) -> None:
         """Be done: the user agent's side is over."""
@@ -126,7 +126,7 @@
         self._answer(frames.INTERNAL_ERROR, b"failed")
 
     def _answer(self, code: int, reason: bytes) -> None:
-        self.side.carry_out(self.side.router.answer(self.flow, code, reason, self.side.now()))
+        self.side.carry_out(self.side.router.reject(self.flow, code, reason, self.side.now()))
 
     def move(self) -> None:
         """Have the client come again, or leave the flow where it is: see docs/quic.md, 'What happens when'."""
@@ -134,7 +134,7 @@
 
     def ended(self, broke: bool) -> None:
         """Forget the flow."""
-        self.side.carry_out(self.side.router.end(self.flow, self.side.now(), False))
+        self.side.carry_out(self.side.router.close_flow(self.flow, self.side.now(), False))
 
     def gone(self, lost: bool) -> None:
         """Hear that the router has forgotten the flow."""
--- a/scaledeal/quic/sockets/handover.py
+++ b/scaledeal/quic/sockets/handover.py
@@ -26,7 +26,7 @@
 from scaledeal.net.handover import Place
 from scaledeal.net.offers import next_offer
 from scaledeal.net.ports import Port
-from scaledeal.quic.core.table import State
+from scaledeal.quic.core.table import FlowState
 
 if TYPE_CHECKING:
     from scaledeal.quic.sockets.side import QuicSide
@@ -110,7 +110,7 @@
         if self.serving:
             return
         self.serving = True
-        self.side.router.spared = frozenset(((host, port), dcid) for host, port, dcid in spared)
+        self.side.router.predecessor_setups = frozenset(((host, port), dcid) for host, port, dcid in spared)
         if spared:
             self.side.reactor.callLater(SPARED, self._spare_none)
         self.side.front.serve(True)
@@ -118,7 +118,7 @@
         self._offer()
 
     def _spare_none(self) -> None:
-        self.side.router.spared = frozenset()
+        self.side.router.predecessor_setups = frozenset()
 
     def heir_lost(self, heir: _Heir) -> None:
         """Hear that the old process is gone."""
@@ -149,10 +149,10 @@
         """Read no more, and return the set-ups that are answered here."""
         self.side.front.serve(False)
         table = self.side.router.table
-        asked = [flow for flow in table.flows if flow.state in (State.ASKED, State.ANSWERED)]
-        for flow in [flow for flow in table.flows if flow.state is State.OPENING]:
+        asked = [flow for flow in table.flows if flow.state in (FlowState.REQUESTED, FlowState.REJECTED)]
+        for flow in [flow for flow in table.flows if flow.state is FlowState.AWAITING_HELLO]:
             # The rest of it comes to the new process, which begins it anew from the client's repeats.
-            self.side.carry_out(self.side.router.end(flow, self.side.now(), False))
+            self.side.carry_out(self.side.router.close_flow(flow, self.side.now(), False))
         log.info("a new version serves quic", answered_here=len(asked), standing_here=len(table.flows) - len(asked))
         return [(*flow.source, flow.dcid) for flow in asked]
 
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -21,14 +21,14 @@
 from scaledeal.operator import FileError, Quic
 from scaledeal.quic.core import verdicts as v
 from scaledeal.quic.core.router import Router
-from scaledeal.quic.core.rules import Placing
-from scaledeal.quic.core.table import Flow, FlowTable, Path, State
+from scaledeal.quic.core.rules import RuleMatcher
+from scaledeal.quic.core.table import Flow, FlowState, FlowTable, Path
 from scaledeal.quic.ids import key_file
 from scaledeal.quic.ids.keys import KeyRing, KeyRingError
 from scaledeal.quic.ids.tokens import Source
 from scaledeal.quic.sockets.agent import QuicAgent
-from scaledeal.quic.sockets.front import Front
 from scaledeal.quic.sockets.handover import Handover
+from scaledeal.quic.sockets.udp_listener import Front
 from scaledeal.quic.sockets.upstream import REFUSALS, Upstream
 from scaledeal.quic.wire import frames
 
@@ -66,12 +66,12 @@
         self._carry: dict[type, Callable[[Any], bool]] = {
             v.ToServer: self._to_server,
             v.ToClient: self._to_client,
-            v.Ask: self._ask,
+            v.RequestServer: self._ask,
             v.Adopt: self._adopt,
-            v.Served: self._served,
-            v.TurnedAway: self._turned_away,
-            v.Shut: self._shut,
-            v.Over: self._over,
+            v.Established: self._served,
+            v.ServerClosed: self._turned_away,
+            v.ClosePath: self._shut,
+            v.FlowClosed: self._over,
             v.Drop: lambda drop: self.count(drop.why),
         }
 
@@ -84,9 +84,9 @@
         except KeyRingError as error:
             raise told.ConfigError(f"quic.keys: {error}") from None
 
-    def _placing(self, quic: Quic) -> Placing:
+    def _placing(self, quic: Quic) -> RuleMatcher:
         entries = enumerate(self.relay.config.document.classes)
-        return Placing(quic, {each.name: (number, int(each.deadline)) for number, each in entries})
+        return RuleMatcher(quic, {each.name: (number, int(each.deadline)) for number, each in entries})
 
     def _reserve(self) -> None:
         """Take the paths' descriptors out of what lines may use."""
@@ -125,9 +125,9 @@
         # Guards against a warning that is given once, and then no more: what is in force stays on record.
         self.quic = msgspec.structs.replace(quic, **in_force)
         self.placing = self._placing(self.quic)
-        table.idle, table.paths_a_flow = int(quic.idle), quic.paths_a_flow
+        table.idle_timeout_ns, table.max_paths_per_flow = int(quic.idle), quic.paths_a_flow
         self.router.retry_above = quic.retry_above
-        self._collide(self.router.rekey(ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key")))
+        self._collide(self.router.set_keys(ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key")))
         log.info("settings taken", configs=[each.number for each in ring.configs], active=ring.active.number)
 
     def lines(self) -> list[str]:
@@ -135,9 +135,9 @@
         table = self.router.table
         levels = {
             "flows": len(table.flows),
-            "paths": table.paths,
-            "under_way": table.under_way,
-            "foreign_ids": self.router.foreign,
+            "paths": table.path_count,
+            "under_way": table.pending_setups,
+            "foreign_ids": self.router.foreign_ids,
         }
         dropped = [f'relay_quic_dropped_total{{why="{why}"}} {count}' for why, count in sorted(self.drops.items())]
         return [f"relay_quic_{name} {value}" for name, value in levels.items()] + dropped
@@ -148,7 +148,7 @@
         self.handover.close()
         for flow in list(self.router.table.flows):
             for path in flow.paths.values():
-                self._shut(v.Shut(path))
+                self._shut(v.ClosePath(path))
         self.front.close()
 
     # Datagrams
@@ -159,9 +159,9 @@
 
     def from_client(self, source: Source, datagram: bytes) -> None:
         """Take a client's datagram."""
-        path = self.router.known(source, datagram) if datagram else None
+        path = self.router.established_path(source, datagram) if datagram else None
         if path is not None and path.upstream is not None:
-            path.seen = self.driver.clock()
+            path.last_seen = self.driver.clock()
             path.upstream.write(datagram)
             return
         try:
@@ -172,8 +172,8 @@
 
     def from_server(self, path: Path, datagram: bytes) -> None:
         """Take a server's datagram."""
-        if path.proven and path.flow.state is State.STANDING and datagram and not datagram[0] & 0x80:
-            path.answered = True
+        if path.validated and path.flow.state is FlowState.ESTABLISHED and datagram and not datagram[0] & 0x80:
+            path.server_responded = True
             self.front.send(path.source, datagram)
             return
         try:
@@ -185,9 +185,9 @@
     def refused(self, path: Path) -> None:
         """Hear that nobody listens at a path's server."""
         flow = path.flow
-        if flow.attempt is path and flow.agent is not None:
+        if flow.attempt_path is path and flow.agent is not None:
             self.reactor.callLater(0, self._refused, flow, flow.agent.current)
-        elif flow.state is State.STANDING and path.upstream is not None and path.upstream.refusals >= REFUSALS:
+        elif flow.state is FlowState.ESTABLISHED and path.upstream is not None and path.upstream.refusals >= REFUSALS:
             self.carry_out(self.router.reset_client(flow, self.now(), True))
 
     def _refused(self, flow: Flow, current: Any) -> None:
@@ -234,22 +234,22 @@
         self.front.send(verdict.source, verdict.datagram)
         return True
 
-    def _shut(self, verdict: v.Shut) -> bool:
+    def _shut(self, verdict: v.ClosePath) -> bool:
         upstream, verdict.path.upstream = verdict.path.upstream, None
         if upstream is not None:
             upstream.shut()
         return True
 
-    def _ask(self, verdict: v.Ask) -> bool:
+    def _ask(self, verdict: v.RequestServer) -> bool:
         flow = verdict.flow
-        assert flow.opening is not None and flow.opening.hello is not None
-        wish = self.placing.wish(flow.opening.hello, flow.source, flow.dcid)
+        assert flow.first_flight is not None and flow.first_flight.hello is not None
+        wish = self.placing.match(flow.first_flight.hello, flow.source, flow.dcid)
         if wish is None:
             self.count("no rule")
-            self.carry_out(self.router.answer(flow, frames.CONNECTION_REFUSED, b"no rule", self.now()))
+            self.carry_out(self.router.reject(flow, frames.CONNECTION_REFUSED, b"no rule", self.now()))
             return True
         flow.agent = agent = QuicAgent(self, flow)
-        ask = Ask(wish.request_class, self.now() + wish.deadline, wish.key, wish.group, wish.tenant)
+        ask = Ask(wish.request_class, self.now() + wish.timeout_ns, wish.key, wish.group, wish.tenant)
         agent.transaction = self.driver.take(ask, agent)
         return True
 
@@ -263,9 +263,9 @@
         agent.stands(self.driver.resume(ask, agent, flow.server, 0.0))
         return True
 
-    def _served(self, verdict: v.Served) -> bool:
+    def _served(self, verdict: v.Established) -> bool:
         verdict.flow.agent.current.served()
-        if self.router.foreign and not self._told_foreign:
+        if self.router.foreign_ids and not self._told_foreign:
             self._told_foreign = True
             log.warning(
                 "a server makes ids that do not say where they belong: they last as long as the table",
@@ -273,11 +273,11 @@
             )
         return True
 
-    def _turned_away(self, verdict: v.TurnedAway) -> bool:
+    def _turned_away(self, verdict: v.ServerClosed) -> bool:
         verdict.flow.agent.current.failed(api.Result.FULL if verdict.refused else api.Result.ERROR)
         return True
 
-    def _over(self, verdict: v.Over) -> bool:
+    def _over(self, verdict: v.FlowClosed) -> bool:
         agent, verdict.flow.agent = verdict.flow.agent, None
         if agent is not None:
             agent.gone(verdict.lost)
@@ -310,13 +310,13 @@
         gone = {name for name, state in self.servers.items() if state is api.ServerState.GONE}
         for name in gone:
             del self.servers[name]
-        self._collide(self.router.listed(set(self.servers), gone))
+        self._collide(self.router.set_servers(set(self.servers), gone))
         for name in self.servers:
             before, now = self.addresses.get(name), self.driver.addresses.get(name, "")
             self.addresses[name] = now
             if before is not None and before != now:
                 log.info("server moved", server=name, address=now)
-                self.carry_out(self.router.moved(name))
+                self.carry_out(self.router.server_moved(name))
         for name in gone:
             self.addresses.pop(name, None)
 
@@ -335,7 +335,7 @@
         if self.kept and self.relay.service.stage is Stage.SERVING:
             kept, self.kept = self.kept, []
             for flow in kept:
-                if flow.state is State.STANDING and flow.agent is None:
+                if flow.state is FlowState.ESTABLISHED and flow.agent is None:
                     self._adopt(v.Adopt(flow))
         self.ticks += 1
         if self.ticks % SUMMARY == 0 and self.drops != self.told_drops:
--- a/tests/test_quic_router.py
+++ b/tests/test_quic_router.py
@@ -12,9 +12,9 @@
 
 from scaledeal.operator import Quic, QuicRule
 from scaledeal.quic.core import verdicts as v
-from scaledeal.quic.core.router import LINGER, MOST_REPEATS, OPENING_TIME, Router
-from scaledeal.quic.core.rules import Placing, name_matches
-from scaledeal.quic.core.table import IDS_A_FLOW, SECOND, Flow, FlowTable, Path, State
+from scaledeal.quic.core.router import CLIENT_HELLO_TIMEOUT_NS, MAX_REPEATED_ANSWERS, REJECTED_FLOW_RETENTION_NS, Router
+from scaledeal.quic.core.rules import RuleMatcher, name_matches
+from scaledeal.quic.core.table import MAX_IDS_PER_FLOW, NS_PER_SECOND, Flow, FlowState, FlowTable, Path
 from scaledeal.quic.ids import tokens
 from scaledeal.quic.ids.keys import new_ring
 from scaledeal.quic.ids.servers import server_id
@@ -26,19 +26,19 @@
 RING = new_ring()
 CODEC = RING.codecs()[0]
 HELLO = frames.parse_initial_payload(CLIENT_CRYPTO).crypto[0].data
-IDLE = 30 * SECOND
+IDLE = 30 * NS_PER_SECOND
 NAMES = {"s-0", "s-1", "s-2"}
 
 
-def router(max_flows: int = 6, max_paths: int = 8, paths_a_flow: int = 3, retry_above: int = 100) -> Router:
+def router(max_flows: int = 6, max_paths: int = 8, max_paths_per_flow: int = 3, retry_above: int = 100) -> Router:
     made = Router(
-        FlowTable(max_flows, max_paths, paths_a_flow, IDLE),
+        FlowTable(max_flows, max_paths, max_paths_per_flow, IDLE),
         RING.codecs(),
         RING.secret("reset_key"),
         RING.secret("retry_key"),
         retry_above,
     )
-    made.listed(NAMES, set())
+    made.set_servers(NAMES, set())
     return made
 
 
@@ -96,33 +96,33 @@
         for each in verdicts:
             if isinstance(each, v.ToServer):
                 self.to_server(each)
-            elif isinstance(each, v.Shut):
+            elif isinstance(each, v.ClosePath):
                 self.open.discard(each.path)
-            elif isinstance(each, v.Served):
+            elif isinstance(each, v.Established):
                 self.answers.setdefault(each.flow, []).append("served")
                 self.out.pop(each.flow, None)
-            elif isinstance(each, v.Over):
+            elif isinstance(each, v.FlowClosed):
                 assert each.flow not in self.over
                 self.over.add(each.flow)
                 assert not [path for path in self.open if path.flow is each.flow]
 
     def to_server(self, each: v.ToServer) -> None:
         flow = each.path.flow
-        assert flow.state is not State.OVER and flow.server
+        assert flow.state is not FlowState.CLOSED and flow.server
         self.open.add(each.path)
-        if flow.state is State.ASKED:
+        if flow.state is FlowState.REQUESTED:
             holders = self.out.setdefault(flow, [])
-            if flow.attempt is each.path and flow.server not in holders:
+            if flow.attempt_path is each.path and flow.server not in holders:
                 holders.append(flow.server)
-            closing = flow.attempt is None
+            closing = flow.attempt_path is None
             if closing:
                 holders.remove(flow.server)
             assert len(holders) <= 1, "two attempts out"
 
-    def flows(self, *states: State) -> list[Flow]:
+    def flows(self, *states: FlowState) -> list[Flow]:
         return [flow for flow in self.router.table.flows if flow.state in states]
 
-    def pick(self, data: st.DataObject, *states: State) -> Flow | None:
+    def pick(self, data: st.DataObject, *states: FlowState) -> Flow | None:
         found = self.flows(*states)
         return data.draw(st.sampled_from(found)) if found else None
 
@@ -138,7 +138,7 @@
 
     @rule(data=st.data())
     def client_goes_on(self, data: st.DataObject) -> None:
-        flow = self.pick(data, State.OPENING, State.ASKED, State.ANSWERED, State.STANDING)
+        flow = self.pick(data, FlowState.AWAITING_HELLO, FlowState.REQUESTED, FlowState.REJECTED, FlowState.ESTABLISHED)
         if flow is not None and not flow.adopted:
             again = first(flow.dcid, number=data.draw(st.integers(0, 3)))
             self.done(self.router.from_client(self.now, 0, flow.source, again))
@@ -148,8 +148,8 @@
         known = list(self.router.table.by_id) + [cid for cid, _ in self.ids]
         cid = data.draw(st.sampled_from(known))
         source = (f"127.0.0.{host}", port)
-        if (path := self.router.known(source, short(cid))) is not None:
-            assert path.flow.state is State.STANDING and path.source == source
+        if (path := self.router.established_path(source, short(cid))) is not None:
+            assert path.flow.state is FlowState.ESTABLISHED and path.source == source
             return
         self.done(self.router.from_client(self.now, 0, source, short(cid)))
 
@@ -163,8 +163,8 @@
 
     @rule(data=st.data(), word=st.sampled_from(["ack", "hello", "refused", "failed", "noise"]))
     def server_answers(self, data: st.DataObject, word: str) -> None:
-        flow = self.pick(data, State.ASKED)
-        if flow is None or flow.attempt is None:
+        flow = self.pick(data, FlowState.REQUESTED)
+        if flow is None or flow.attempt_path is None:
             return
         payload = {
             "ack": b"\2\0\0\0\0",
@@ -175,21 +175,21 @@
         }[word]
         scid = CODEC.new(server_id(flow.server, 8))
         answer = from_server(flow, scid, payload) if payload else b"\xc0" * 40
-        verdicts = self.router.from_server(self.now, flow.attempt, answer)
+        verdicts = self.router.from_server(self.now, flow.attempt_path, answer)
         self.done(verdicts)
-        if any(isinstance(each, v.TurnedAway) for each in verdicts):
+        if any(isinstance(each, v.ServerClosed) for each in verdicts):
             self.done(self.router.end_attempt(flow))
-        assert (flow.state is State.STANDING) == (word == "hello")
+        assert (flow.state is FlowState.ESTABLISHED) == (word == "hello")
 
     @rule(data=st.data())
     def server_speaks(self, data: st.DataObject) -> None:
         if not self.open:
             return
-        path = data.draw(st.sampled_from(sorted(self.open, key=lambda each: (each.source, each.flow.since))))
-        before = path.sent
+        path = data.draw(st.sampled_from(sorted(self.open, key=lambda each: (each.source, each.flow.state_since))))
+        before = path.sent_bytes
         verdicts = self.router.from_server(self.now, path, short(b"any", 400))
         sent = sum(len(each.datagram) for each in verdicts if isinstance(each, v.ToClient))
-        assert path.proven or before + sent <= 3 * path.received
+        assert path.validated or before + sent <= 3 * path.received_bytes
         assert all(each.source == path.source for each in verdicts if isinstance(each, v.ToClient))
         self.done(verdicts)
 
@@ -197,51 +197,61 @@
 
     @rule(data=st.data(), name=st.sampled_from(sorted(NAMES)))
     def module_sends(self, data: st.DataObject, name: str) -> None:
-        flow = self.pick(data, State.ASKED)
-        if flow is not None and flow.attempt is None:
-            room = self.router.table.room_for_path(flow)
-            self.done(self.router.attempt(flow, name, self.now))
-            assert (flow.attempt is not None) == room
+        flow = self.pick(data, FlowState.REQUESTED)
+        if flow is not None and flow.attempt_path is None:
+            room = self.router.table.has_room_for_path(flow)
+            self.done(self.router.begin_attempt(flow, name, self.now))
+            assert (flow.attempt_path is not None) == room
 
     @rule(data=st.data())
     def attempt_ends(self, data: st.DataObject) -> None:
-        flow = self.pick(data, State.ASKED)
+        flow = self.pick(data, FlowState.REQUESTED)
         if flow is not None:
             self.done(self.router.end_attempt(flow))
 
     @rule(data=st.data())
     def module_answers(self, data: st.DataObject) -> None:
-        flow = self.pick(data, State.ASKED)
+        flow = self.pick(data, FlowState.REQUESTED)
         if flow is not None:
             self.done(self.router.end_attempt(flow))
-            told = self.router.answer(flow, frames.CONNECTION_REFUSED, b"busy", self.now)
+            told = self.router.reject(flow, frames.CONNECTION_REFUSED, b"busy", self.now)
             assert len(told) == 1
             self.answers.setdefault(flow, []).append("refused")
             self.done(told)
-            assert self.router.answer(flow, 1, b"", self.now) == []
+            assert self.router.reject(flow, 1, b"", self.now) == []
 
     @rule(data=st.data(), name=st.sampled_from(sorted(NAMES)))
     def module_moves(self, data: st.DataObject, name: str) -> None:
-        flow = self.pick(data, State.STANDING)
+        flow = self.pick(data, FlowState.ESTABLISHED)
         if flow is not None:
             self.done(self.router.reset_client(flow, self.now, False))
 
     @rule(name=st.sampled_from(sorted(NAMES)), back=st.booleans())
     def list_changes(self, name: str, back: bool) -> None:
-        self.router.listed(NAMES if back else NAMES - {name}, set() if back else {name})
-        self.done(self.router.moved(name))
-
-    @rule(span=st.sampled_from([SECOND // 10, SECOND, OPENING_TIME + SECOND, IDLE + 2 * SECOND, 10**6 * SECOND]))
+        self.router.set_servers(NAMES if back else NAMES - {name}, set() if back else {name})
+        self.done(self.router.server_moved(name))
+
+    @rule(
+        span=st.sampled_from(
+            [
+                NS_PER_SECOND // 10,
+                NS_PER_SECOND,
+                CLIENT_HELLO_TIMEOUT_NS + NS_PER_SECOND,
+                IDLE + 2 * NS_PER_SECOND,
+                10**6 * NS_PER_SECOND,
+            ]
+        )
+    )
     def time_passes(self, span: int) -> None:
         self.now += span
         self.done(self.router.tick(self.now))
 
-    @precondition(lambda self: self.flows(State.ANSWERED))
+    @precondition(lambda self: self.flows(FlowState.REJECTED))
     @rule()
     def answered_flows_are_forgotten(self) -> None:
-        self.now += LINGER + 2 * SECOND
+        self.now += REJECTED_FLOW_RETENTION_NS + 2 * NS_PER_SECOND
         self.done(self.router.tick(self.now))
-        assert not self.flows(State.ANSWERED)
+        assert not self.flows(FlowState.REJECTED)
 
     # What always holds
 
@@ -253,22 +263,24 @@
     def bounds(self) -> None:
         table = self.router.table
         assert len(table.flows) <= table.max_flows
-        assert table.paths == sum(len(flow.paths) for flow in table.flows) <= table.max_paths
-        assert all(len(flow.paths) <= table.paths_a_flow and len(flow.ids) <= IDS_A_FLOW for flow in table.flows)
-        out = [flow.attempt for flow in table.flows if flow.attempt is not None]
+        assert table.path_count == sum(len(flow.paths) for flow in table.flows) <= table.max_paths
+        assert all(
+            len(flow.paths) <= table.max_paths_per_flow and len(flow.ids) <= MAX_IDS_PER_FLOW for flow in table.flows
+        )
+        out = [flow.attempt_path for flow in table.flows if flow.attempt_path is not None]
         assert all(path.flow.paths.get(path.source) is path for path in out), "an attempt's path gave way"
-        assert table.under_way == len(self.flows(State.OPENING, State.ASKED))
-        assert len(self.router.strays) <= 32
+        assert table.pending_setups == len(self.flows(FlowState.AWAITING_HELLO, FlowState.REQUESTED))
+        assert len(self.router.buffered_zero_rtt) <= 32
 
     @invariant()
     def nothing_leaks(self) -> None:
         table = self.router.table
         assert all(path.flow.paths.get(path.source) is path for path in self.open)
         live = table.flows.keys()
-        for index in (table.by_opening, table.by_id, table.by_peer, table.by_source):
+        for index in (table.by_initial_dcid, table.by_id, table.by_source_and_server, table.by_source):
             assert set(index.values()) <= live
         assert all(path.flow.paths.get(path.source) is path for path in table.routes.values())
-        assert set(table.unproven) <= {path for flow in live for path in flow.paths.values()}
+        assert set(table.unvalidated) <= {path for flow in live for path in flow.paths.values()}
         watched = {what for bucket in table._wheel.values() for what in bucket}
         assert {path for flow in live for path in flow.paths.values()} <= watched
 
@@ -279,7 +291,7 @@
 
 def asked(made: Router, dcid: bytes, source: tuple[str, int] = ("127.0.0.1", 1)) -> Flow:
     verdicts = made.from_client(0, 0, source, first(dcid))
-    assert isinstance(verdicts[0], v.Ask)
+    assert isinstance(verdicts[0], v.RequestServer)
     return verdicts[0].flow
 
 
@@ -287,10 +299,10 @@
     made: Router, dcid: bytes = b"firstone", source: tuple[str, int] = ("127.0.0.1", 1), name: str = "s-0"
 ) -> tuple[Flow, bytes]:
     flow = asked(made, dcid, source)
-    made.attempt(flow, name, 0)
-    assert flow.attempt is not None
+    made.begin_attempt(flow, name, 0)
+    assert flow.attempt_path is not None
     cid = CODEC.new(server_id(name, 8))
-    made.from_server(0, flow.attempt, from_server(flow, cid, frames.encode_crypto(0, b"x")))
+    made.from_server(0, flow.attempt_path, from_server(flow, cid, frames.encode_crypto(0, b"x")))
     return flow, cid
 
 
@@ -299,7 +311,7 @@
 
 
 def test_small_initials_and_probes_cost_nothing() -> None:
-    """State for each datagram of a stranger fills the memory; answers larger than questions serve as a weapon."""
+    """FlowState for each datagram of a stranger fills the memory; answers larger than questions serve as a weapon."""
     made = router()
     assert kinds(made.from_client(0, 0, ("h", 1), first(b"firstone", size=1199))) == ["Drop"]
     assert kinds(made.from_client(0, 0, ("h", 1), first(b"short", size=1200))) == ["Drop"]
@@ -322,8 +334,8 @@
     with_token = first(retry.scid, token=retry.token, number=1)
     assert kinds(made.from_client(0, 5, ("h", 3), with_token)) == ["ToClient"]
     assert kinds(made.from_client(0, 5 + 2 * tokens.RETRY_TOKEN_LIFETIME_NS, ("h", 2), with_token)) == ["ToClient"]
-    assert made.table.under_way == 1
-    assert kinds(made.from_client(0, 5, ("h", 2), with_token)) == ["Ask"]
+    assert made.table.pending_setups == 1
+    assert kinds(made.from_client(0, 5, ("h", 2), with_token)) == ["RequestServer"]
 
 
 def test_zero_rtt_before_its_initial() -> None:
@@ -333,7 +345,7 @@
     early = header + bytes(64)
     assert kinds(made.from_client(0, 0, ("127.0.0.1", 1), early)) == ["Drop"]
     flow = asked(made, b"firstone")
-    sent = made.attempt(flow, "s-0", 0)[-1]
+    sent = made.begin_attempt(flow, "s-0", 0)[-1]
     assert isinstance(sent, v.ToServer) and [each[0] & 0x30 for each in sent.datagrams].count(0x10) == 1
 
 
@@ -343,7 +355,7 @@
     bad = first(b"firstone")
     header = b"\xd0" + V1.to_bytes(4, "big") + b"\x08firstone\x06client" + b"\x40\x20" + bytes(32)
     made.from_client(0, 0, ("127.0.0.1", 1), header + bad[:-1] + bytes((bad[-1] ^ 1,)))
-    assert asked(made, b"firstone").opening is not None
+    assert asked(made, b"firstone").first_flight is not None
 
 
 def test_an_attempt_without_a_path_left() -> None:
@@ -356,40 +368,42 @@
             made.from_client(0, 0, ("127.0.0.1", port), short(cid))
             made.from_server(0, flow.paths["127.0.0.1", port], short(b"any", 30))
             made.from_client(0, 0, ("127.0.0.1", port), short(cid))
-    assert made.table.paths == 4 and not made.table.unproven
-    assert kinds(made.attempt(waiting, "s-0", 0)) == ["Drop"] and waiting.attempt is None
+    assert made.table.path_count == 4 and not made.table.unvalidated
+    assert kinds(made.begin_attempt(waiting, "s-0", 0)) == ["Drop"] and waiting.attempt_path is None
 
 
 def test_repeats_after_the_answer_are_bounded() -> None:
     """An answer that is lost comes again; a flood of repeats does not."""
     made = router()
     flow = asked(made, b"firstone")
-    made.answer(flow, 2, b"busy", 0)
-    told = [kinds(made.from_client(0, 0, ("127.0.0.1", 1), first(b"firstone"))) for _ in range(MOST_REPEATS + 5)]
-    assert told.count(["ToClient"]) == MOST_REPEATS
+    made.reject(flow, 2, b"busy", 0)
+    told = [
+        kinds(made.from_client(0, 0, ("127.0.0.1", 1), first(b"firstone"))) for _ in range(MAX_REPEATED_ANSWERS + 5)
+    ]
+    assert told.count(["ToClient"]) == MAX_REPEATED_ANSWERS
 
 
 def test_a_frozen_attempt_sends_nothing_new() -> None:
     """A repeat that reaches a draining server may be the first that does."""
     made = router()
     flow = asked(made, b"firstone")
-    made.attempt(flow, "s-0", 0)
+    made.begin_attempt(flow, "s-0", 0)
     assert kinds(made.from_client(0, 0, ("127.0.0.1", 1), first(b"firstone"))) == ["ToServer"]
-    made.freeze(flow)
+    made.stop_sending(flow)
     assert made.from_client(0, 0, ("127.0.0.1", 1), first(b"firstone")) == []
 
 
 def test_copies_push_out_each_other() -> None:
     """The client's own path outlives any number of copies from elsewhere."""
-    made = router(paths_a_flow=3)
+    made = router(max_paths_per_flow=3)
     flow, cid = standing(made)
     own = ("127.0.0.1", 1)
     made.from_client(0, 0, own, short(cid))
-    assert flow.paths[own].proven
+    assert flow.paths[own].validated
     for number in range(50):
         made.from_client(number, 0, ("127.0.0.8", number + 2), short(cid))
         assert len(flow.paths) <= 3 and own in flow.paths
-    assert made.known(own, short(cid)) is flow.paths[own]
+    assert made.established_path(own, short(cid)) is flow.paths[own]
 
 
 def test_a_copy_from_another_clients_address_takes_nothing() -> None:
@@ -399,7 +413,7 @@
     b, cid_b = standing(made, b"flow-bbb", ("127.0.0.2", 2), "s-0")
     made.from_client(0, 0, ("127.0.0.2", 2), short(cid_a))
     made.from_client(0, 0, ("127.0.0.2", 2), short(CODEC.new(server_id("s-0", 8))))
-    assert made.table.by_peer[("127.0.0.2", 2), "s-0"] is b
+    assert made.table.by_source_and_server[("127.0.0.2", 2), "s-0"] is b
     assert made.table.by_source["127.0.0.2", 2] is b and len(b.ids) == 2 and len(a.ids) == 1
 
 
@@ -410,7 +424,7 @@
     unknown = CODEC.new(server_id("s-9", 8))
     assert kinds(made.from_client(0, 0, ("h", 1), short(unknown))) == ["Drop"]
     assert "ToClient" not in kinds(made.from_client(0, 0, ("h", 1), short(cid)))
-    made.listed(NAMES - {"s-0"}, {"s-0"})
+    made.set_servers(NAMES - {"s-0"}, {"s-0"})
     told = made.from_client(0, 0, ("h", 2), short(cid))
     assert isinstance(told[0], v.ToClient) and len(told[0].datagram) < 60
     assert told[0].datagram[-16:] == tokens.reset_token(RING.secret("reset_key"), cid)
@@ -420,10 +434,10 @@
     """A server that makes ids of its own kind is served as long as its client stays where it is."""
     made = router()
     flow = asked(made, b"firstone")
-    made.attempt(flow, "s-0", 0)
-    assert flow.attempt is not None
-    made.from_server(0, flow.attempt, from_server(flow, b"\xffstrange", frames.encode_crypto(0, b"x")))
-    assert made.foreign == 1
+    made.begin_attempt(flow, "s-0", 0)
+    assert flow.attempt_path is not None
+    made.from_server(0, flow.attempt_path, from_server(flow, b"\xffstrange", frames.encode_crypto(0, b"x")))
+    assert made.foreign_ids == 1
     assert kinds(made.from_client(0, 0, ("127.0.0.1", 1), short(b"\xffstrange"))) == ["ToServer"]
     assert kinds(made.from_client(0, 0, ("127.0.0.5", 1), short(b"\xffstrange"))) == ["Drop"]
 
@@ -434,7 +448,7 @@
     probe = (b"\xc0\x1a\x1a\x1a\x1a\x08firstone\x04mine").ljust(1200, b"\0")
     said = [*one.from_client(0, 0, ("h", 1), probe), *one.from_client(0, 0, ("h", 1), first(b"secondon"))]
     flow = asked(other, b"thirdone")
-    said += other.answer(flow, 2, b"busy", 0)
+    said += other.reject(flow, 2, b"busy", 0)
     standing_flow, _ = standing(other, b"fourthon")
     said += other.reset_client(standing_flow, 0, False)
     datagrams = [each.datagram for each in said if isinstance(each, v.ToClient)]
@@ -493,7 +507,7 @@
             name="o",
             class_name="overlay",
             sni=("*.o.example",),
-            deadline=9 * SECOND,
+            deadline=9 * NS_PER_SECOND,
             key_from="sni",
             group_from="label",
         ),
@@ -501,12 +515,14 @@
         QuicRule(name="q", class_name="none", alpn=("q",)),
         QuicRule(name="r", class_name="browse"),
     )
-    placing = Placing(Quic(listen="h:1", keys="k", rule=rules), {"browse": (0, 3 * SECOND), "overlay": (1, SECOND)})
-    one = placing.wish(ClientHello("m1.o.example", ()), ("h", 1), b"\1\2")
-    assert one is not None and (one.request_class, one.deadline) == (1, SECOND)
+    matcher = RuleMatcher(
+        Quic(listen="h:1", keys="k", rule=rules), {"browse": (0, 3 * NS_PER_SECOND), "overlay": (1, NS_PER_SECOND)}
+    )
+    one = matcher.match(ClientHello("m1.o.example", ()), ("h", 1), b"\1\2")
+    assert one is not None and (one.request_class, one.timeout_ns) == (1, NS_PER_SECOND)
     assert (one.key, one.group) == ("m1.o.example", "m1")
-    two = placing.wish(ClientHello("x.example", ("z", "p")), ("h", 1), b"\1\2")
+    two = matcher.match(ClientHello("x.example", ("z", "p")), ("h", 1), b"\1\2")
     assert two is not None and (two.rule, two.key, two.group) == ("p", "0102", "x.example")
-    three = placing.wish(ClientHello("", ()), ("h", 1), b"\1\2")
+    three = matcher.match(ClientHello("", ()), ("h", 1), b"\1\2")
     assert three is not None and (three.rule, three.key, three.group) == ("r", "h", "")
-    assert placing.wish(ClientHello("", ("q",)), ("h", 1), b"") is None
+    assert matcher.match(ClientHello("", ("q",)), ("h", 1), b"") is None
