--- a/scaledeal/quic/sockets/__init__.py
+++ b/scaledeal/quic/sockets/__init__.py
@@ -1,1 +1,1 @@
-"""QUIC's sockets on Twisted, and the ties to ``scaledeal.net``: they carry verdicts out and choose nothing."""
+"""QUIC's sockets on Twisted, and the connection to ``scaledeal.net``; they carry out verdicts and decide nothing."""
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -1,4 +1,4 @@
-"""The driver's view of a QUIC flow: an agent that gives its final answer, and one attempt at a server."""
+"""The driver's view of a QUIC flow: an agent that sends the final answer, and one attempt at a server."""
 
 from __future__ import annotations
 
@@ -14,78 +14,81 @@
 if TYPE_CHECKING:
     from scaledeal.quic.sockets.side import QuicSide
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class QuicAttempt:
-    """One attempt at a tile server; it owns the timer of its wait, the router owns its path."""
+    """One attempt at a tile server. It owns its timeout's timer; the router owns its path."""
 
     def __init__(self, side: QuicSide, flow: Flow, events: AttemptEvents) -> None:
         self.side = side
         self.flow = flow
         self.events = events
         self.timer: Timer | None = None
-        self.stands = False
-        self.done = False
-
-    def begin(self, wait: int) -> QuicAttempt:
-        """Send all that the client has sent; the whole attempt may wait so many nanoseconds."""
-        self.timer = self.side.reactor.callLater(wait / 1e9, self.failed, api.Result.TIMEOUT)
-        sent = self.side.carry_out(self.side.router.begin_attempt(self.flow, self.events.server, self.side.now()))
-        if sent and self.flow.attempt_path is not None:
+        self.established = False
+        self.ended = False
+
+    def begin(self, timeout_ns: int) -> QuicAttempt:
+        """Send the client's first flight and start the timeout, which covers the whole attempt."""
+        self.timer = self.side.reactor.callLater(timeout_ns / 1e9, self.abort, api.Result.TIMEOUT)
+        sent_all = self.side.carry_out(self.side.router.begin_attempt(self.flow, self.events.server, self.side.now()))
+        if sent_all and self.flow.attempt_path is not None:
             self.events.written()
         else:
-            # Later, as the transaction does not hold this attempt yet.
-            self.side.reactor.callLater(0, self.failed, api.Result.CONNECT_FAILED)
+            # Deferred: the transaction refers to this attempt only after ``begin`` has returned.
+            self.side.reactor.callLater(0, self.abort, api.Result.CONNECT_FAILED)
         return self
 
-    def failed(self, result: api.Result) -> None:
-        """End the attempt, towards its server first, and tell how it ended."""
-        if not self.done and not self.stands:
+    def abort(self, result: api.Result) -> None:
+        """Close the connection to the server, then report the result; do nothing once established or ended."""
+        if not self.ended and not self.established:
             self.side.carry_out(self.side.router.end_attempt(self.flow))
-            self._over(result)
+            self._end(result)
 
-    def served(self) -> None:
-        """Hear that the server's first flight has reached the client."""
+    def server_answered(self) -> None:
+        """Report the attempt as established: the server's first flight has been sent to the client."""
         self._stop_timer()
-        self.stands = True
+        self.established = True
         self.events.established()
 
-    def lost(self) -> None:
-        """Hear that the server of a flow that stands is gone."""
-        if not self.done:
-            self._over(api.Result.RESET)
+    def server_gone(self) -> None:
+        """End the attempt of an established flow whose server is gone."""
+        if not self.ended:
+            self._end(api.Result.RESET)
 
-    # What the transaction calls
+    # Called by the transaction
 
     def give_up(self) -> None:
-        """Stop waiting."""
-        self.failed(api.Result.CANCELLED)
+        """Cancel the attempt before it is established."""
+        self.abort(api.Result.CANCELLED)
 
     def withdraw(self, result: api.Result = api.Result.CONNECT_FAILED) -> None:
-        """Send nothing more to a server that wants nothing new or whose client left, unless it answers what it has."""
-        if not self.stands:
+        """Send nothing more before the server answers: it accepts no new work, or the client has left.
+
+        The attempt itself stays open, as the server may still answer what it has received.
+        """
+        if not self.established:
             self.side.router.stop_sending(self.flow)
 
     def leave(self, broke: bool) -> None:
-        """Be done: the user agent's side is over."""
-        if not self.done:
-            self._over(api.Result.CANCELLED)
+        """End the attempt after the user agent's side has ended."""
+        if not self.ended:
+            self._end(api.Result.CANCELLED)
 
     def client_ended_sending(self) -> None:
-        """Do nothing: QUIC's half-closes are the endpoints' own."""
+        """Do nothing: half-closed QUIC streams concern the endpoints only."""
 
     def silent_since(self) -> int:
-        """Return 0: what waits for an answer can't be told from outside of the encryption."""
+        """Return 0: encryption hides which messages wait for an answer."""
         return 0
 
     def break_off(self) -> None:
-        """Never called, as nothing is silent here."""
+        """Do nothing; never called, as ``silent_since`` is always 0."""
 
-    # Inside
+    # Internals
 
-    def _over(self, result: api.Result) -> None:
-        self.done = True
+    def _end(self, result: api.Result) -> None:
+        self.ended = True
         self._stop_timer()
         self.events.over(result, (), False)
 
@@ -96,64 +99,66 @@
 
 
 class QuicAgent:
-    """The client of one flow."""
+    """The user agent of one flow, as the driver sees it."""
 
     def __init__(self, side: QuicSide, flow: Flow) -> None:
         self.side = side
         self.flow = flow
         self.transaction: Transaction | None = None
-        self.current: QuicAttempt | None = None
+        self.current_attempt: QuicAttempt | None = None
 
     def begin_attempt(self, address: str, wait: int, events: AttemptEvents) -> QuicAttempt:
-        """Start one attempt."""
-        self.current = QuicAttempt(self.side, self.flow, events)
-        return self.current.begin(wait)
+        """Start one attempt; the router looks the server's address up itself."""
+        self.current_attempt = QuicAttempt(self.side, self.flow, events)
+        return self.current_attempt.begin(wait)
 
-    def stands(self, transaction: Transaction) -> None:
-        """Stand from the beginning: an id says that the flow does."""
+    def adopt(self, transaction: Transaction) -> None:
+        """Attach the transaction of an adopted flow, with an attempt that is established from the beginning."""
         self.transaction = transaction
-        self.current = QuicAttempt(self.side, self.flow, transaction)
-        self.current.stands = True
-        transaction.current = self.current
+        self.current_attempt = QuicAttempt(self.side, self.flow, transaction)
+        self.current_attempt.established = True
+        transaction.current = self.current_attempt
 
     def refuse(self, retry_after: int) -> None:
-        """Answer CONNECTION_REFUSED; its reason says when to come again, where that is known."""
-        wait = -(-retry_after // MS)
-        self._answer(frames.CONNECTION_REFUSED, b"retry-after-ms=%d" % wait if wait > 0 else b"busy")
+        """Answer CONNECTION_REFUSED; the reason phrase holds the time before a retry, if it is known."""
+        retry_after_ms = -(-retry_after // NS_PER_MS)
+        self._reject(
+            frames.CONNECTION_REFUSED, b"retry-after-ms=%d" % retry_after_ms if retry_after_ms > 0 else b"busy"
+        )
 
     def fail(self) -> None:
         """Answer INTERNAL_ERROR."""
-        self._answer(frames.INTERNAL_ERROR, b"failed")
+        self._reject(frames.INTERNAL_ERROR, b"failed")
 
-    def _answer(self, code: int, reason: bytes) -> None:
+    def _reject(self, code: int, reason: bytes) -> None:
         self.side.carry_out(self.side.router.reject(self.flow, code, reason, self.side.now()))
 
     def move(self) -> None:
-        """Have the client come again, or leave the flow where it is: see docs/quic.md, 'What happens when'."""
+        """Have the client reconnect, or leave the flow where it is; see docs/quic.md, 'What happens when'."""
         self.side.move(self.flow)
 
     def ended(self, broke: bool) -> None:
-        """Forget the flow."""
+        """Remove the flow from the router."""
         self.side.carry_out(self.side.router.close_flow(self.flow, self.side.now(), False))
 
-    def gone(self, lost: bool) -> None:
-        """Hear that the router has forgotten the flow."""
+    def flow_closed(self, lost: bool) -> None:
+        """End the transaction after the router has removed the flow."""
         transaction, self.transaction = self.transaction, None
-        if transaction is None or self.current is None:
+        if transaction is None or self.current_attempt is None:
             return
         if lost:
-            self.current.lost()
+            self.current_attempt.server_gone()
         else:
-            # Guards against servers taken for draining: it is not they who ended this.
+            # Without this event the decision module would attribute the end to the server, and take it for draining.
             self.side.driver.post(api.ClientGone(transaction.handle))
             transaction.gone(False)
 
     def hand_over(self) -> Carried | None:
-        """Return None: a new version finds flows by their ids."""
+        """Return None: a new process finds the flows by their connection ids."""
         return None
 
     def let_go(self) -> None:
-        """Never called, as nothing is handed over."""
+        """Do nothing; never called, as ``hand_over`` returns None."""
 
     def keep(self) -> None:
-        """Never called, as nothing is handed over."""
+        """Do nothing; never called, as ``hand_over`` returns None."""
--- a/scaledeal/quic/sockets/handover.py
+++ b/scaledeal/quic/sockets/handover.py
@@ -1,8 +1,8 @@
-"""Hands the UDP socket to a new version of this relay, over a Unix socket in the folder that both share.
+"""Hands the UDP socket over to a new process of this relay, through a Unix socket in the folder that both share.
 
-The new process connects and is passed the socket; it says when it serves. The old one then reads no more, and
-answers with the set-ups that it still owes an answer: the new one drops repeats of those, so each flow gets one
-answer, from one process. What stands needs no words: ids say where it belongs.
+The new process connects, receives the socket, and reports when it is ready to serve. The old process then stops
+reading and replies with the set-ups that it still has to answer. The new process drops repeated datagrams of those, so
+each flow gets one answer, from one process. Established flows need no transfer: their ids encode their servers.
 """
 
 from __future__ import annotations
@@ -33,156 +33,162 @@
 
 log = structlog.get_logger("scaledeal.quic")
 
-PATIENCE = 1.0  # seconds that the old process gets to hand its socket over
-SPARED = 5.0  # seconds for which repeats of the old process's set-ups are left to it
-LONGEST = 1 << 20  # bytes of the list of set-ups
+SOCKET_TIMEOUT_S = 1.0  # for the old process to pass its socket
+PREDECESSOR_SETUPS_S = 5.0  # how long repeated datagrams of the old process's set-ups are left to it
+MAX_LINE_BYTES = 1 << 20  # the longest line is the list of set-ups
 
 
-class Spared(msgspec.Struct, frozen=True):
-    """Set-ups that the old process answers: clients' addresses and first ids."""
+class PredecessorSetups(msgspec.Struct, frozen=True):
+    """Set-ups that the old process answers: client host, client port, first destination id."""
 
     set_ups: list[tuple[str, int, bytes]]
 
 
-class QuicPlace(Place, frozen=True):
-    """Where the offers of one UDP address lie."""
+class QuicOfferLocation(Place, frozen=True):
+    """Where the offers of the relay at one UDP address are found."""
 
     @property
     def prefix(self) -> str:
-        """Return how the names of these offers begin."""
+        """Return the common prefix of these offers' file names."""
         return "sq-" + super().prefix.removeprefix("sd-")
 
 
 class Handover:
-    """Owns the claim on an old process's socket, and the offer to a new one."""
+    """Owns the connection to an old process that offers its socket, and this process's offer to a new one."""
 
     def __init__(self, side: QuicSide) -> None:
         self.side = side
-        self.place: QuicPlace | None = None
+        self.location: QuicOfferLocation | None = None
         self.listen: Address | None = None
-        self.offers: list[str] = []
-        self.heir: _Heir | None = None  # the connection to the old process
-        self.port: Port | None = None  # the Unix socket of our own offer
-        self.successor: _Giver | None = None
+        self.offers: list[str] = []  # paths still to be tried
+        self.predecessor: _PredecessorConnection | None = None  # the old process, once it has passed its socket
+        self.offer_port: Port | None = None  # listens on the Unix socket of this process's own offer
+        self.successor: _SuccessorConnection | None = None
         self.opened = self.wants_to_serve = self.serving = False
 
     # As the new process
 
     def begin(self, folder: Path | None, listen: Address) -> None:
-        """Ask whoever offers a socket, or bind one; raise ConfigError where there is none to be had."""
+        """Request the socket from an old process, or bind one if none offers it; raise ConfigError if binding fails."""
         self.listen = listen
-        self.place = QuicPlace(folder, listen) if folder is not None else None
-        self.offers = self.place.offers() if self.place is not None else []
+        self.location = QuicOfferLocation(folder, listen) if folder is not None else None
+        self.offers = self.location.offers() if self.location is not None else []
         if self.offers:
-            self._next()
+            self._try_next_offer()
         else:
-            self.come(None)
+            self.open_socket(None)
 
-    def _next(self) -> None:
+    def _try_next_offer(self) -> None:
         if self.offers:
-            self.side.reactor.connectUNIX(self.offers.pop(0), _Claim(self), PATIENCE)
+            self.side.reactor.connectUNIX(self.offers.pop(0), _ClaimFactory(self), SOCKET_TIMEOUT_S)
             return
         try:
-            self.come(None)
+            self.open_socket(None)
         except ConfigError as error:
             self.side.relay._give_up(error)
 
-    def come(self, descriptor: int | None) -> None:
-        """Take the socket that was handed over, or bind one."""
+    def open_socket(self, descriptor: int | None) -> None:
+        """Open the listener on an inherited descriptor, or bind a socket; raise ConfigError if that fails."""
         assert self.listen is not None
-        self.side.front.open(self.side.reactor, self.listen, descriptor)
+        self.side.listener.open(self.side.reactor, self.listen, descriptor)
         self.opened = True
         if self.wants_to_serve:
             self.serve()
 
     def serve(self) -> None:
-        """Read datagrams, once the socket is there and the old process reads no more."""
+        """Start serving as soon as the socket is open and the old process has stopped reading."""
         self.wants_to_serve = True
         if not self.opened or self.serving:
             return
-        if self.heir is not None:
-            cast(Any, self.heir).sendLine(b"serving")
+        if self.predecessor is not None:
+            cast(Any, self.predecessor).sendLine(b"serving")
         else:
-            self.read_on([])
+            self.start_reading([])
 
-    def read_on(self, spared: list[tuple[str, int, bytes]]) -> None:
-        """Begin to read; the old process answers these set-ups."""
+    def start_reading(self, set_ups: list[tuple[str, int, bytes]]) -> None:
+        """Start reading datagrams, except those of set-ups that the old process answers."""
         if self.serving:
             return
         self.serving = True
-        self.side.router.predecessor_setups = frozenset(((host, port), dcid) for host, port, dcid in spared)
-        if spared:
-            self.side.reactor.callLater(SPARED, self._spare_none)
-        self.side.front.serve(True)
-        log.info("quic is served", port=self.side.front.number, left_to_the_old_process=len(spared))
+        self.side.router.predecessor_setups = frozenset(((host, port), dcid) for host, port, dcid in set_ups)
+        if set_ups:
+            self.side.reactor.callLater(PREDECESSOR_SETUPS_S, self._forget_predecessor_setups)
+        self.side.listener.set_reading(True)
+        log.info("quic is served", port=self.side.listener.bound_port, left_to_the_old_process=len(set_ups))
         self._offer()
 
-    def _spare_none(self) -> None:
+    def _forget_predecessor_setups(self) -> None:
         self.side.router.predecessor_setups = frozenset()
 
-    def heir_lost(self, heir: _Heir) -> None:
-        """Hear that the old process is gone."""
+    def predecessor_lost(self, connection: _PredecessorConnection) -> None:
+        """Handle the loss of the connection to the old process: try the next offer, or serve without its reply."""
         if not self.opened:
-            self._next()
-        elif self.heir is heir:
-            self.heir = None
+            self._try_next_offer()
+        elif self.predecessor is connection:
+            self.predecessor = None
             if self.wants_to_serve:
-                self.read_on([])
+                self.start_reading([])
 
     # As the old process
 
     def _offer(self) -> None:
-        if self.place is None:
+        if self.location is None:
             return
-        # The port that is in fact taken: a new version is told that one.
-        place = self.place = QuicPlace(self.place.folder, Address(self.place.listen.host, self.side.front.number))
-        path = str(next_offer(place.folder, place.prefix))
+        # With port 0 configured, the actual port: a new process is configured with that one.
+        location = self.location = QuicOfferLocation(
+            self.location.folder, Address(self.location.listen.host, self.side.listener.bound_port)
+        )
+        path = str(next_offer(location.folder, location.prefix))
         try:
-            port = cast(Any, unix.Port)(path, _Offer(self), 4, 0o600, self.side.reactor)
-            port.startListening()
-            self.port = port
+            offer_port = cast(Any, unix.Port)(path, _OfferFactory(self), 4, 0o600, self.side.reactor)
+            offer_port.startListening()
+            self.offer_port = offer_port
         except (CannotListenError, OSError) as error:
-            # Guards against a folder that can't be written: the relay serves without a successor.
-            log.warning("no offer to a new version", reason=str(error))
+            # A folder that can't be written is no reason to stop: the relay serves, without handover to a successor.
+            log.warning("can't offer the quic socket to a new version", reason=str(error))
 
-    def succeeded(self) -> list[tuple[str, int, bytes]]:
-        """Read no more, and return the set-ups that are answered here."""
-        self.side.front.serve(False)
+    def hand_over(self) -> list[tuple[str, int, bytes]]:
+        """Stop reading, and return the set-ups that this process still answers; incomplete ones are removed."""
+        self.side.listener.set_reading(False)
         table = self.side.router.table
-        asked = [flow for flow in table.flows if flow.state in (FlowState.REQUESTED, FlowState.REJECTED)]
+        answered_here = [flow for flow in table.flows if flow.state in (FlowState.REQUESTED, FlowState.REJECTED)]
         for flow in [flow for flow in table.flows if flow.state is FlowState.AWAITING_HELLO]:
-            # The rest of it comes to the new process, which begins it anew from the client's repeats.
+            # The remaining datagrams reach the new process, which starts the set-up anew from the client's repeats.
             self.side.carry_out(self.side.router.close_flow(flow, self.side.now(), False))
-        log.info("a new version serves quic", answered_here=len(asked), standing_here=len(table.flows) - len(asked))
-        return [(*flow.source, flow.dcid) for flow in asked]
+        log.info(
+            "a new version serves quic",
+            answered_here=len(answered_here),
+            standing_here=len(table.flows) - len(answered_here),
+        )
+        return [(*flow.source, flow.dcid) for flow in answered_here]
 
     def successor_lost(self) -> None:
-        """Hear that the new version is gone: read again."""
+        """Resume reading after the connection to the new process is lost."""
         self.successor = None
         if self.serving and not self.side.closed:
-            log.warning("the new version is gone: quic is read here again")
-            self.side.front.serve(True)
+            log.warning("the new version is gone: this process reads quic datagrams again")
+            self.side.listener.set_reading(True)
 
     def close(self) -> None:
-        """Withdraw the offer."""
-        if self.port is not None:
+        """Stop offering the socket."""
+        if self.offer_port is not None:
             with contextlib.suppress(OSError):
-                self.port.stopListening()
-            self.port = None
+                self.offer_port.stopListening()
+            self.offer_port = None
 
 
-class _Offer(ServerFactory):
+class _OfferFactory(ServerFactory):
     noisy = False
 
     def __init__(self, handover: Handover) -> None:
         self.handover = handover
 
-    def buildProtocol(self, addr: IAddress | None) -> _Giver:  # noqa: N802
-        return _Giver(self.handover)
+    def buildProtocol(self, addr: IAddress | None) -> _SuccessorConnection:  # noqa: N802
+        return _SuccessorConnection(self.handover)
 
 
-class _Giver(LineOnlyReceiver):
-    """The old process's end."""
+class _SuccessorConnection(LineOnlyReceiver):
+    """The old process's end of the connection, which passes the socket."""
 
     def __init__(self, handover: Handover) -> None:
         self.handover = handover
@@ -192,42 +198,42 @@
             cast(Any, self.transport).loseConnection()
             return
         self.handover.successor = self
-        cast(Any, self.transport).sendFileDescriptor(self.handover.side.front.port.fileno())
+        cast(Any, self.transport).sendFileDescriptor(self.handover.side.listener.port.fileno())
         cast(Any, self).sendLine(b"socket")
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
         if line == b"serving" and self.handover.successor is self:
-            set_ups = self.handover.succeeded()
-            cast(Any, self).sendLine(msgspec.json.encode(Spared(set_ups)))
+            set_ups = self.handover.hand_over()
+            cast(Any, self).sendLine(msgspec.json.encode(PredecessorSetups(set_ups)))
 
     def connectionLost(self, reason: Failure = cast(Failure, None)) -> None:  # noqa: N802, B008
         if self.handover.successor is self:
             self.handover.successor_lost()
 
 
-class _Claim(ClientFactory):
+class _ClaimFactory(ClientFactory):
     noisy = False
 
     def __init__(self, handover: Handover) -> None:
         self.handover = handover
 
-    def buildProtocol(self, addr: IAddress | None) -> _Heir:  # noqa: N802
-        return _Heir(self.handover)
+    def buildProtocol(self, addr: IAddress | None) -> _PredecessorConnection:  # noqa: N802
+        return _PredecessorConnection(self.handover)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802
-        self.handover._next()
+        self.handover._try_next_offer()
 
 
 @implementer(IFileDescriptorReceiver)
-class _Heir(LineOnlyReceiver):
-    """The new process's end; it owns a descriptor until the front has a duplicate."""
+class _PredecessorConnection(LineOnlyReceiver):
+    """The new process's end of the connection; owns the received descriptors, as the listener duplicates them."""
 
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_LINE_BYTES
 
     def __init__(self, handover: Handover) -> None:
         self.handover = handover
         self.descriptors: list[int] = []
-        self.timer = handover.side.reactor.callLater(PATIENCE, self._give_up)
+        self.timer = handover.side.reactor.callLater(SOCKET_TIMEOUT_S, self._give_up)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:  # noqa: N802
         self.descriptors.append(descriptor)
@@ -236,10 +242,10 @@
         try:
             if line == b"socket" and self.descriptors and not self.handover.opened:
                 self.timer.cancel()
-                self.handover.heir = self
-                self.handover.come(self.descriptors[0])
+                self.handover.predecessor = self
+                self.handover.open_socket(self.descriptors[0])
             else:
-                self.handover.read_on(msgspec.json.decode(line, type=Spared).set_ups)
+                self.handover.start_reading(msgspec.json.decode(line, type=PredecessorSetups).set_ups)
         except (msgspec.MsgspecError, ConfigError):
             self._give_up()
 
@@ -248,7 +254,7 @@
             self.timer.cancel()
         for descriptor in self.descriptors:
             os.close(descriptor)
-        self.handover.heir_lost(self)
+        self.handover.predecessor_lost(self)
 
     def _give_up(self) -> None:
         cast(Any, self.transport).abortConnection()
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -1,4 +1,4 @@
-"""Ties the QUIC side together: datagrams to the router, its verdicts to sockets and to the driver."""
+"""Connects the parts of the QUIC side: passes datagrams to the router, and verdicts to sockets and to the driver."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import structlog
 
 from scaledeal import interface as api
-from scaledeal.net import config as told
+from scaledeal.net import config
 from scaledeal.net.admission import OWN
 from scaledeal.net.driver import Driver
 from scaledeal.net.ports import Reactor
@@ -28,19 +28,19 @@
 from scaledeal.quic.ids.tokens import Source
 from scaledeal.quic.sockets.agent import QuicAgent
 from scaledeal.quic.sockets.handover import Handover
-from scaledeal.quic.sockets.udp_listener import Front
-from scaledeal.quic.sockets.upstream import REFUSALS, Upstream
+from scaledeal.quic.sockets.udp_listener import UdpListener
+from scaledeal.quic.sockets.upstream import REFUSALS_BEFORE_GONE, Upstream
 from scaledeal.quic.wire import frames
 
 log = structlog.get_logger("scaledeal.quic")
 
-TICK = 1.0  # seconds between two looks at what is due
-SUMMARY = 10  # ticks between two log lines on what was dropped
-LEAST_IDLE = 64  # descriptors that lines must keep
+TICK_INTERVAL_S = 1.0  # between two checks of the router's timeouts
+TICKS_PER_DROP_SUMMARY = 10  # between two log lines that summarise the dropped datagrams
+MIN_LINE_DESCRIPTORS = 64  # left to connections of the line protocol
 
 
 class QuicSide:
-    """The QUIC side of one relay, from its start to its end."""
+    """The QUIC side of one relay; implements ``net.sides.Side``."""
 
     def __init__(self, relay: Relay, quic: Quic, read_file: Callable[[], Quic | None]) -> None:
         self.relay = relay
@@ -48,90 +48,93 @@
         self.driver: Driver = relay.driver
         self.quic = quic
         self.read_file = read_file
-        ring = self._keys(quic)
+        ring = self._read_keys(quic)
         table = FlowTable(quic.max_flows, quic.max_paths, quic.paths_a_flow, int(quic.idle))
         self.router = Router(table, ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key"), quic.retry_above)
-        self.placing = self._placing(quic)
-        self.front = Front(self)
+        self.rule_matcher = self._new_rule_matcher(quic)
+        self.listener = UdpListener(self)
         self.handover = Handover(self)
         self.drops: Counter[str] = Counter()
-        self.told_drops: Counter[str] = Counter()
-        self.kept: list[Flow] = []  # flows that a drain of this relay took off the module's books
+        self.logged_drops: Counter[str] = Counter()
+        self.detached_flows: list[Flow] = []  # taken off the decision module by a drain of this relay
         self.servers: dict[str, api.ServerState] = {}
         self.addresses: dict[str, str] = {}
         self.ticks = 0
         self.closed = False
-        self._told_foreign = False
-        self._reserve()
-        self._carry: dict[type, Callable[[Any], bool]] = {
+        self._foreign_ids_logged = False
+        self._reserve_descriptors()
+        self._handlers: dict[type, Callable[[Any], bool]] = {
             v.ToServer: self._to_server,
             v.ToClient: self._to_client,
-            v.RequestServer: self._ask,
+            v.RequestServer: self._request_server,
             v.Adopt: self._adopt,
-            v.Established: self._served,
-            v.ServerClosed: self._turned_away,
-            v.ClosePath: self._shut,
-            v.FlowClosed: self._over,
-            v.Drop: lambda drop: self.count(drop.why),
+            v.Established: self._established,
+            v.ServerClosed: self._server_closed,
+            v.ClosePath: self._close_path,
+            v.FlowClosed: self._flow_closed,
+            v.Drop: lambda drop: self.count_drop(drop.why),
         }
 
-    # The start and the settings
+    # Start and settings
 
     @staticmethod
-    def _keys(quic: Quic) -> KeyRing:
+    def _read_keys(quic: Quic) -> KeyRing:
         try:
             return key_file.read(FilePath(quic.keys))
         except KeyRingError as error:
-            raise told.ConfigError(f"quic.keys: {error}") from None
+            raise config.ConfigError(f"quic.keys: {error}") from None
 
-    def _placing(self, quic: Quic) -> RuleMatcher:
+    def _new_rule_matcher(self, quic: Quic) -> RuleMatcher:
         entries = enumerate(self.relay.config.document.classes)
-        return RuleMatcher(quic, {each.name: (number, int(each.deadline)) for number, each in entries})
+        return RuleMatcher(quic, {entry.name: (number, int(entry.deadline)) for number, entry in entries})
 
-    def _reserve(self) -> None:
-        """Take the paths' descriptors out of what lines may use."""
+    def _reserve_descriptors(self) -> None:
+        """Subtract the paths' descriptors from those that line-protocol connections may use."""
         admission = self.relay.door.reception.admission
-        wanted = self.quic.max_paths + 4  # the front, the handover, and its two ends
-        if admission.most - wanted < OWN + LEAST_IDLE:
-            raise told.ConfigError(
-                f"quic.max_paths: {wanted} descriptors of {admission.most} leave lines too few; "
-                f"{max(0, admission.most - OWN - LEAST_IDLE - 4)} paths fit"
+        # Besides the paths: the listener, the offer's Unix socket, the connections to the old and the new process.
+        needed = self.quic.max_paths + 4
+        if admission.most - needed < OWN + MIN_LINE_DESCRIPTORS:
+            raise config.ConfigError(
+                f"quic.max_paths: {needed} of {admission.most} descriptors leave too few for line connections; "
+                f"{max(0, admission.most - OWN - MIN_LINE_DESCRIPTORS - 4)} paths are possible"
             )
-        admission.most -= wanted
+        admission.most -= needed
 
     def start(self) -> None:
-        """Look for an old process, or bind the socket."""
-        self.handover.begin(self.relay.config.folder, told.address(self.quic.listen, "quic.listen"))
+        """Request the socket from an old process, or bind it; raise ConfigError if that fails."""
+        self.handover.begin(self.relay.config.folder, config.address(self.quic.listen, "quic.listen"))
 
     def serve(self) -> None:
-        """Take datagrams from now on."""
+        """Start serving datagrams, and start the periodic checks."""
         self.handover.serve()
-        self.reactor.callLater(TICK, self._tick)
+        self.reactor.callLater(TICK_INTERVAL_S, self._tick)
 
     def reload(self) -> None:
-        """Read the operators' file and the keys again; whatever is wrong leaves everything as it is."""
+        """Reload the operators' file and the keys; on any error log it and change nothing."""
         try:
             quic = self.read_file()
             if quic is None:
-                raise told.ConfigError("the quic block is gone: that wants a restart")
-            ring = self._keys(quic)
-        except (FileError, told.ConfigError) as error:
+                raise config.ConfigError("the quic block was removed: that takes effect only after a restart")
+            ring = self._read_keys(quic)
+        except (FileError, config.ConfigError) as error:
             log.warning("settings not taken, the old ones stay in force", reason=str(error))
             return
         table = self.router.table
         in_force = {name: getattr(self.quic, name) for name in ("listen", "max_flows", "max_paths")}
-        if changed := [name for name, value in in_force.items() if getattr(quic, name) != value]:
-            log.warning("these wait for a restart", settings=changed)
-        # Guards against a warning that is given once, and then no more: what is in force stays on record.
+        if pending := [name for name, value in in_force.items() if getattr(quic, name) != value]:
+            log.warning("changed settings take effect only after a restart", settings=pending)
+        # Keep the values in force, so that the next reload compares with them and warns again.
         self.quic = msgspec.structs.replace(quic, **in_force)
-        self.placing = self._placing(self.quic)
+        self.rule_matcher = self._new_rule_matcher(self.quic)
         table.idle_timeout_ns, table.max_paths_per_flow = int(quic.idle), quic.paths_a_flow
         self.router.retry_above = quic.retry_above
-        self._collide(self.router.set_keys(ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key")))
-        log.info("settings taken", configs=[each.number for each in ring.configs], active=ring.active.number)
+        self._log_collisions(self.router.set_keys(ring.codecs(), ring.secret("reset_key"), ring.secret("retry_key")))
+        log.info(
+            "settings taken", configs=[key_config.number for key_config in ring.configs], active=ring.active.number
+        )
 
     def lines(self) -> list[str]:
-        """Return the figures as operators read them."""
+        """Return the metrics, one line each."""
         table = self.router.table
         levels = {
             "flows": len(table.flows),
@@ -143,22 +146,22 @@
         return [f"relay_quic_{name} {value}" for name, value in levels.items()] + dropped
 
     def close(self) -> None:
-        """Give everything back."""
+        """Close all sockets."""
         self.closed = True
         self.handover.close()
         for flow in list(self.router.table.flows):
             for path in flow.paths.values():
-                self._shut(v.ClosePath(path))
-        self.front.close()
+                self._close_path(v.ClosePath(path))
+        self.listener.close()
 
     # Datagrams
 
     def now(self) -> int:
-        """Return the time in ns."""
+        """Return the driver's time in ns."""
         return self.driver.now()
 
     def from_client(self, source: Source, datagram: bytes) -> None:
-        """Take a client's datagram."""
+        """Handle a datagram from a client: forward it on its path, or carry out the router's verdicts."""
         path = self.router.established_path(source, datagram) if datagram else None
         if path is not None and path.upstream is not None:
             path.last_seen = self.driver.clock()
@@ -166,178 +169,182 @@
             return
         try:
             self.carry_out(self.router.from_client(self.now(), self.relay.unix_clock.now(), source, datagram))
-        except Exception:  # one stranger's datagram must not end the others' service
-            self.count("defect")
-            log.exception("a client's datagram could not be taken")
+        except Exception:  # a defect in handling one datagram must not end the service for all other clients
+            self.count_drop("defect")
+            log.exception("a client's datagram could not be handled")
 
     def from_server(self, path: Path, datagram: bytes) -> None:
-        """Take a server's datagram."""
+        """Handle a datagram from a server: forward it on its path, or carry out the router's verdicts."""
         if path.validated and path.flow.state is FlowState.ESTABLISHED and datagram and not datagram[0] & 0x80:
             path.server_responded = True
-            self.front.send(path.source, datagram)
+            self.listener.send(path.source, datagram)
             return
         try:
             self.carry_out(self.router.from_server(self.now(), path, datagram))
         except Exception:
-            self.count("defect")
-            log.exception("a server's datagram could not be taken")
+            self.count_drop("defect")
+            log.exception("a server's datagram could not be handled")
 
-    def refused(self, path: Path) -> None:
-        """Hear that nobody listens at a path's server."""
+    def port_unreachable(self, path: Path) -> None:
+        """Abort a path's attempt, or reset its flow after repeated errors: nothing listens at its server's address."""
         flow = path.flow
         if flow.attempt_path is path and flow.agent is not None:
-            self.reactor.callLater(0, self._refused, flow, flow.agent.current)
-        elif flow.state is FlowState.ESTABLISHED and path.upstream is not None and path.upstream.refusals >= REFUSALS:
+            self.reactor.callLater(0, self._abort_refused_attempt, flow, flow.agent.current_attempt)
+        elif (
+            flow.state is FlowState.ESTABLISHED
+            and path.upstream is not None
+            and path.upstream.refusals >= REFUSALS_BEFORE_GONE
+        ):
             self.carry_out(self.router.reset_client(flow, self.now(), True))
 
-    def _refused(self, flow: Flow, current: Any) -> None:
-        if flow.agent is not None and flow.agent.current is current and not self.closed:
-            current.failed(api.Result.CONNECT_FAILED)
+    def _abort_refused_attempt(self, flow: Flow, attempt: Any) -> None:
+        if flow.agent is not None and flow.agent.current_attempt is attempt and not self.closed:
+            attempt.abort(api.Result.CONNECT_FAILED)
 
-    def count(self, why: str) -> bool:
-        """Count a datagram that goes nowhere; a line for each would be a second flood."""
+    def count_drop(self, why: str) -> bool:
+        """Count a dropped datagram; a log line for each would let a flood of datagrams flood the log."""
         self.drops[why] += 1
         return True
 
     # Verdicts
 
     def carry_out(self, verdicts: list[v.Verdict]) -> bool:
-        """Do what the router wants; False where a socket was not to be had."""
-        done = True
+        """Carry out the router's verdicts; return False if a socket could not be opened."""
+        succeeded = True
         for verdict in verdicts:
-            done = self._carry[type(verdict)](verdict) and done
-        return done
+            succeeded = self._handlers[type(verdict)](verdict) and succeeded
+        return succeeded
 
     def _to_server(self, verdict: v.ToServer) -> bool:
         path = verdict.path
-        if path.upstream is None and not self._open(path):
+        if path.upstream is None and not self._open_upstream(path):
             return False
         for datagram in verdict.datagrams:
             path.upstream.write(datagram)
         return True
 
-    def _open(self, path: Path) -> bool:
+    def _open_upstream(self, path: Path) -> bool:
         address = self.driver.addresses.get(path.flow.server, "")
         upstream = Upstream(path, self, self.reactor)
         try:
             if not address:
                 return False
             upstream.open(address)
-        except (OSError, told.ConfigError) as error:
-            self.count("no upstream socket")
-            log.warning("no upstream socket", server=path.flow.server, reason=str(error))
+        except (OSError, config.ConfigError) as error:
+            self.count_drop("no upstream socket")
+            log.warning("can't open an upstream socket", server=path.flow.server, reason=str(error))
             return False
         path.upstream = upstream
         return True
 
     def _to_client(self, verdict: v.ToClient) -> bool:
-        self.front.send(verdict.source, verdict.datagram)
+        self.listener.send(verdict.source, verdict.datagram)
         return True
 
-    def _shut(self, verdict: v.ClosePath) -> bool:
+    def _close_path(self, verdict: v.ClosePath) -> bool:
         upstream, verdict.path.upstream = verdict.path.upstream, None
         if upstream is not None:
-            upstream.shut()
+            upstream.close()
         return True
 
-    def _ask(self, verdict: v.RequestServer) -> bool:
+    def _request_server(self, verdict: v.RequestServer) -> bool:
         flow = verdict.flow
         assert flow.first_flight is not None and flow.first_flight.hello is not None
-        wish = self.placing.match(flow.first_flight.hello, flow.source, flow.dcid)
-        if wish is None:
-            self.count("no rule")
+        match = self.rule_matcher.match(flow.first_flight.hello, flow.source, flow.dcid)
+        if match is None:
+            self.count_drop("no rule")
             self.carry_out(self.router.reject(flow, frames.CONNECTION_REFUSED, b"no rule", self.now()))
             return True
         flow.agent = agent = QuicAgent(self, flow)
-        ask = Ask(wish.request_class, self.now() + wish.timeout_ns, wish.key, wish.group, wish.tenant)
-        agent.transaction = self.driver.take(ask, agent)
+        request = Ask(match.request_class, self.now() + match.timeout_ns, match.key, match.group, match.tenant)
+        agent.transaction = self.driver.take(request, agent)
         return True
 
     def _adopt(self, verdict: v.Adopt) -> bool:
-        """Tell the module of a connection that stands; its class is the last rule's, as no ClientHello says it."""
+        """Register an established flow with the module, under the last rule's class as it has no ClientHello."""
         flow = verdict.flow
         rule = self.quic.rule[-1]
-        number, deadline = self.placing.classes.get(rule.class_name, (0, 1))
+        number, deadline = self.rule_matcher.classes.get(rule.class_name, (0, 1))
         flow.agent = agent = QuicAgent(self, flow)
-        ask = Ask(number, self.now() + deadline, flow.source[0], "", rule.tenant)
-        agent.stands(self.driver.resume(ask, agent, flow.server, 0.0))
+        request = Ask(number, self.now() + deadline, flow.source[0], "", rule.tenant)
+        agent.adopt(self.driver.resume(request, agent, flow.server, 0.0))
         return True
 
-    def _served(self, verdict: v.Established) -> bool:
-        verdict.flow.agent.current.served()
-        if self.router.foreign_ids and not self._told_foreign:
-            self._told_foreign = True
+    def _established(self, verdict: v.Established) -> bool:
+        verdict.flow.agent.current_attempt.server_answered()
+        if self.router.foreign_ids and not self._foreign_ids_logged:
+            self._foreign_ids_logged = True
             log.warning(
-                "a server makes ids that do not say where they belong: they last as long as the table",
+                "a server issues connection ids that do not encode its server id: only the flow table routes them",
                 server=verdict.flow.server,
             )
         return True
 
-    def _turned_away(self, verdict: v.ServerClosed) -> bool:
-        verdict.flow.agent.current.failed(api.Result.FULL if verdict.refused else api.Result.ERROR)
+    def _server_closed(self, verdict: v.ServerClosed) -> bool:
+        verdict.flow.agent.current_attempt.abort(api.Result.FULL if verdict.refused else api.Result.ERROR)
         return True
 
-    def _over(self, verdict: v.FlowClosed) -> bool:
+    def _flow_closed(self, verdict: v.FlowClosed) -> bool:
         agent, verdict.flow.agent = verdict.flow.agent, None
         if agent is not None:
-            agent.gone(verdict.lost)
+            agent.flow_closed(verdict.lost)
         return True
 
     # Moves
 
     def move(self, flow: Flow) -> None:
-        """Carry out a move: a reset, but where the flow is better left alone."""
+        """Carry out a move by a stateless reset, unless the flow can stay where it is."""
         agent, flow.agent = flow.agent, None
         if agent is not None:
             agent.transaction = None
-        draining = self.servers.get(flow.server) is not api.ServerState.LIVE
+        server_draining = self.servers.get(flow.server) is not api.ServerState.LIVE
         if self.relay.service.stage is not Stage.SERVING or self.driver.draining:
-            # This relay drains: whoever comes after it finds the flow by its ids.
-            self.kept.append(flow)
-        elif not draining and self.quic.on_move == "reset":
+            # This relay drains: its successor, or another relay, finds the flow by its ids.
+            self.detached_flows.append(flow)
+        elif not server_draining and self.quic.on_move == "reset":
             self.carry_out(self.router.reset_client(flow, self.now(), False))
 
-    # News and time
+    # Server list and timers
 
     def listed(self, event: api.Membership) -> None:
-        """Hear news of the list."""
+        """Apply a change of the server list."""
         if event.kind is api.MembershipKind.LOST:
             return
-        states = {each.server: each.state for each in event.servers}
+        states = {entry.server: entry.state for entry in event.servers}
         if event.kind is api.MembershipKind.FULL:
             states |= dict.fromkeys(self.servers.keys() - states.keys(), api.ServerState.GONE)
         self.servers.update(states)
         gone = {name for name, state in self.servers.items() if state is api.ServerState.GONE}
         for name in gone:
             del self.servers[name]
-        self._collide(self.router.set_servers(set(self.servers), gone))
+        self._log_collisions(self.router.set_servers(set(self.servers), gone))
         for name in self.servers:
-            before, now = self.addresses.get(name), self.driver.addresses.get(name, "")
-            self.addresses[name] = now
-            if before is not None and before != now:
-                log.info("server moved", server=name, address=now)
+            old_address, new_address = self.addresses.get(name), self.driver.addresses.get(name, "")
+            self.addresses[name] = new_address
+            if old_address is not None and old_address != new_address:
+                log.info("server moved", server=name, address=new_address)
                 self.carry_out(self.router.server_moved(name))
         for name in gone:
             self.addresses.pop(name, None)
 
-    def _collide(self, pairs: frozenset[tuple[str, str]]) -> None:
-        for one, other in sorted(pairs):
+    def _log_collisions(self, pairs: frozenset[tuple[str, str]]) -> None:
+        for first, second in sorted(pairs):
             log.error(
                 "two servers have the same server id: neither is routed by it; use longer server ids",
-                servers=[one, other],
+                servers=[first, second],
             )
 
     def _tick(self) -> None:
         if self.closed:
             return
-        self.reactor.callLater(TICK, self._tick)
+        self.reactor.callLater(TICK_INTERVAL_S, self._tick)
         self.carry_out(self.router.tick(self.now()))
-        if self.kept and self.relay.service.stage is Stage.SERVING:
-            kept, self.kept = self.kept, []
-            for flow in kept:
+        if self.detached_flows and self.relay.service.stage is Stage.SERVING:
+            flows, self.detached_flows = self.detached_flows, []
+            for flow in flows:
                 if flow.state is FlowState.ESTABLISHED and flow.agent is None:
                     self._adopt(v.Adopt(flow))
         self.ticks += 1
-        if self.ticks % SUMMARY == 0 and self.drops != self.told_drops:
-            log.info("datagrams that went nowhere", **{"since_start": dict(self.drops - self.told_drops)})
-            self.told_drops = self.drops.copy()
+        if self.ticks % TICKS_PER_DROP_SUMMARY == 0 and self.drops != self.logged_drops:
+            log.info("dropped datagrams", **{"since_start": dict(self.drops - self.logged_drops)})
+            self.logged_drops = self.drops.copy()
--- a/scaledeal/quic/sockets/udp_listener.py
+++ b/scaledeal/quic/sockets/udp_listener.py
@@ -16,11 +16,11 @@
 if TYPE_CHECKING:
     from scaledeal.quic.sockets.side import QuicSide
 
-BUFFER = 4 << 20  # bytes that the kernel is asked to queue; it may give less (net.core.rmem_max)
+RECEIVE_BUFFER_BYTES = 4 << 20  # requested from the kernel, which may grant less (net.core.rmem_max)
 
 
-class Front(DatagramProtocol):
-    """Owns the listening socket, alone or with another process of this relay."""
+class UdpListener(DatagramProtocol):
+    """Owns the listening socket, which another process of this relay may share."""
 
     noisy = False
 
@@ -28,12 +28,12 @@
         self.side = side
         self.port: Any = None
 
-    def open(self, reactor: Reactor, at: Address, descriptor: int | None) -> None:
-        """Take the socket that was handed over, or bind one; raise ConfigError where that can't be done.
+    def open(self, reactor: Reactor, address: Address, descriptor: int | None) -> None:
+        """Use a duplicate of the inherited descriptor, or bind a socket; raise ConfigError if that fails.
 
-        Nothing is read before ``serve``.
+        Nothing is read before ``set_reading(True)``.
         """
-        family = socket.AF_INET6 if ":" in at.host else socket.AF_INET
+        family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         try:
             with (
                 socket.socket(family, socket.SOCK_DGRAM)
@@ -41,40 +41,40 @@
                 else socket.socket(fileno=os.dup(descriptor)) as sock
             ):
                 if descriptor is None:
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
-                    sock.bind((at.host, at.port))
-                # Guards against a read that waits: Twisted sets this only on sockets of its own making.
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+                    sock.bind((address.host, address.port))
+                # Twisted makes only the sockets that it creates non-blocking; a blocking read would stop the reactor.
                 sock.setblocking(False)
                 self.port = cast(Any, udp.Port)._fromListeningDescriptor(reactor, sock.fileno(), family, self, 65_536)
         except OSError as error:
-            raise ConfigError(f"quic.listen: {at.host}:{at.port}: {error.strerror}") from None
+            raise ConfigError(f"quic.listen: {address.host}:{address.port}: {error.strerror}") from None
         self.port.startListening()
         self.port.stopReading()
 
     @property
-    def number(self) -> int:
-        """Return the port that is in fact listened on."""
+    def bound_port(self) -> int:
+        """Return the actual port, also if port 0 was configured."""
         return int(self.port.getHost().port)
 
-    def serve(self, yes: bool) -> None:
-        """Read from now on, or read no more."""
-        if yes:
+    def set_reading(self, enabled: bool) -> None:
+        """Start or stop reading datagrams."""
+        if enabled:
             self.port.startReading()
         else:
             self.port.stopReading()
 
     def send(self, source: Source, datagram: bytes) -> None:
-        """Send to a client; what the kernel does not take is lost, as on any network."""
+        """Send a datagram to a client; one that the kernel rejects is dropped and counted."""
         try:
             self.port.socket.sendto(datagram, source)
         except OSError:
-            self.side.count("not sent")
+            self.side.count_drop("not sent")
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:  # noqa: N802, D102
         self.side.from_client((addr[0], addr[1]), datagram)
 
     def close(self) -> None:
-        """Close the socket here; another process may go on with it."""
+        """Close this process's descriptor; another process may continue to use the socket."""
         if self.port is not None:
             self.port.stopListening()
             self.port = None
--- a/tests/test_quic_flows.py
+++ b/tests/test_quic_flows.py
@@ -356,7 +356,7 @@
     old.until_told("a new version serves quic")
     assert client.request() == home
     new.kill()
-    old.until_told("quic is read here again")
+    old.until_told("this process reads quic datagrams again")
     assert client.request() == home
 
 
