--- a/tests/quic_world.py
+++ b/tests/quic_world.py
@@ -1,4 +1,4 @@
-"""A relay process, stand-in tile servers, discovery and clients that speak QUIC, for the tests of the QUIC side."""
+"""Test harness of the QUIC side: relay processes, with simulated tile servers, discovery and QUIC clients."""
 
 from __future__ import annotations
 
@@ -27,62 +27,64 @@
 
 
 class QuicWorld:
-    """Owns everything that a test starts."""
+    """Starts, and finally closes, the processes and peers of a test."""
 
     def __init__(self, folder: Path, servers: int = 2, rules: str = RULES, port: int = 0, **settings: Any) -> None:
         self.folder = folder
         self.loop = Loop()
         self.record = TrafficRecord()
-        self.keys = folder / "quic.keys"
-        key_file.write(self.keys, new_ring())
-        self.file = folder / "scaledeal.hcl"
+        self.keys_path = folder / "quic.keys"
+        key_file.write(self.keys_path, new_ring())
+        self.settings_path = folder / "scaledeal.hcl"
         self.rules, self.settings = rules, {"max_flows": 100, "max_paths": 120, **settings}
-        self.write_file(port)
+        self.write_settings(port)
         self.discovery = Discovery(self.loop)
         self.servers = [self.new_server(f"s-{number}") for number in range(servers)]
         self.relays: list[RelayProcess] = []
         self.clients: list[Client] = []
 
-    def write_file(self, port: int = 0) -> None:
-        def shown(value: Any) -> str:
+    def write_settings(self, port: int = 0) -> None:
+        def hcl_value(value: Any) -> str:
             return f'"{value}"' if isinstance(value, str) else str(value)
 
-        lines = "\n".join(f"  {name} = {shown(value)}" for name, value in self.settings.items())
-        places = f'  listen = "127.0.0.1:{port}"\n  keys = "{self.keys}"\n'
-        self.file.write_text(f"quic {{\n{places}{lines}\n{self.rules}}}\n")
+        lines = "\n".join(f"  {name} = {hcl_value(value)}" for name, value in self.settings.items())
+        paths = f'  listen = "127.0.0.1:{port}"\n  keys = "{self.keys_path}"\n'
+        self.settings_path.write_text(f"quic {{\n{paths}{lines}\n{self.rules}}}\n")
 
     def new_server(self, name: str) -> TileServer:
-        server = TileServer(self.loop, name, key_file.read(self.keys), self.record)
+        server = TileServer(self.loop, name, key_file.read(self.keys_path), self.record)
         self.discovery.put(name, server.address)
         return server
 
     def server(self, name: str) -> TileServer:
-        return next(each for each in self.servers if each.name == name)
-
-    def others(self, name: str) -> list[TileServer]:
-        return [each for each in self.servers if each.name != name]
-
-    def relay(self, name: str = "n0", **more: Any) -> RelayProcess:
-        started = RelayProcess(self.loop, self.folder, self.discovery.address, self.file, name, **more)
-        self.relays.append(started)
-        started.until_told("quic is served")
-        # New flows go where the module knows servers; a list that has not come yet refuses them.
-        self.loop.until(lambda: started.figure("relay_registry_entries") >= len(self.discovery.entries), "the list")
-        return started
-
-    def again(self, relay: RelayProcess) -> RelayProcess:
-        """Kill a relay and start it anew at the same address, with nothing that it knew."""
-        self.write_file(relay.quic_port)
+        return next(server for server in self.servers if server.name == name)
+
+    def other_servers(self, name: str) -> list[TileServer]:
+        return [server for server in self.servers if server.name != name]
+
+    def start_relay(self, name: str = "n0", **options: Any) -> RelayProcess:
+        relay = RelayProcess(self.loop, self.folder, self.discovery.address, self.settings_path, name, **options)
+        self.relays.append(relay)
+        relay.until_told("quic is served")
+        # Until the relay has received the server list, it refuses new flows.
+        self.loop.until(
+            lambda: relay.figure("relay_registry_entries") >= len(self.discovery.entries), "the server list"
+        )
+        return relay
+
+    def restart_relay(self, relay: RelayProcess) -> RelayProcess:
+        """Kill a relay and start a new one at the same address, without any of its state."""
+        self.write_settings(relay.quic_port)
         relay.kill()
-        return self.relay()
+        return self.start_relay()
 
-    def client(self, relay: RelayProcess, **more: Any) -> Client:
-        made = Client(self.loop, ("127.0.0.1", relay.quic_port), self.record, **more)
-        self.clients.append(made)
-        return made
+    def new_client(self, relay: RelayProcess, **options: Any) -> Client:
+        client = Client(self.loop, ("127.0.0.1", relay.quic_port), self.record, **options)
+        self.clients.append(client)
+        return client
 
-    def turn_until(self, holds: Callable[[], Any], what: str = "") -> None:
-        self.loop.until(holds, what)
+    def run_until(self, condition: Callable[[], Any], description: str = "") -> None:
+        self.loop.until(condition, description)
 
     def close(self) -> None:
         for relay in self.relays:
@@ -90,9 +92,9 @@
                 relay.kill()
         self.loop.close()
 
-    def check(self) -> None:
-        """Hold what crossed the sockets against the rules."""
+    def check_traffic(self) -> None:
+        """Assert that the recorded traffic broke no rule, each client got an answer, and no relay logged a defect."""
         assert self.record.violations() == []
         assert self.record.unanswered([client.dcid for client in self.clients]) == []
-        told = [line for relay in self.relays for line in relay.log if "Traceback" in line or "could not" in line]
-        assert told == [], "\n".join(told)
+        errors = [line for relay in self.relays for line in relay.log if "Traceback" in line or "could not" in line]
+        assert errors == [], "\n".join(errors)
