--- a/scaledeal/quic/core/rules.py
+++ b/scaledeal/quic/core/rules.py
@@ -10,7 +10,7 @@
 
 
 class RuleMatch(msgspec.Struct, frozen=True):
-    """The request that a rule yields for a ClientHello; ``timeout_ns`` is relative, so no arrival time is needed."""
+    """The request that a rule yields for a ClientHello, without its arrival time; ``timeout_ns`` counts from that."""
 
     request_class: int
     timeout_ns: int
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -142,7 +142,7 @@
         self.side.carry_out(self.side.router.close_flow(self.flow, self.side.now(), False))
 
     def flow_closed(self, lost: bool) -> None:
-        """End the transaction after the router has removed the flow."""
+        """End the transaction after the router has removed the flow; ``lost`` says that its server is gone."""
         transaction, self.transaction = self.transaction, None
         if transaction is None or self.current_attempt is None:
             return
--- a/scaledeal/quic/sockets/handover.py
+++ b/scaledeal/quic/sockets/handover.py
@@ -121,7 +121,10 @@
         self.side.router.predecessor_setups = frozenset()
 
     def predecessor_lost(self, connection: _PredecessorConnection) -> None:
-        """Handle the loss of the connection to the old process: try the next offer, or serve without its reply."""
+        """Handle the loss of a connection to an old process.
+
+        Without a socket yet, try the next offer; else serve without waiting for the old process any longer.
+        """
         if not self.opened:
             self._try_next_offer()
         elif self.predecessor is connection:
