--- a/scaledeal/net/client_listener.py
+++ b/scaledeal/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The clients' door: the listening socket, and who is let in."""
+"""The listening socket for clients, which admits or rejects each new connection."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from scaledeal.net.admission import CLOSING
+from scaledeal.net.admission import RESERVED_FOR_CLOSING
 from scaledeal.net.patient_sockets import PatientServer
 from scaledeal.net.ports import Reactor, Timer
 from scaledeal.net.socket_errors import AcceptErrors, Remedy
@@ -20,15 +20,15 @@
 
 log = logging.getLogger("scaledeal.client_listener")
 
-BACKLOG = 1024  # connections that wait in the queue
-AT_ONCE = 8  # calls of accept that may fail in one round
-LAST_TRIES = 64  # and as the queue closes
-PATIENT = 10  # such waits in a row after which an idle client has to go
-SHORT = 0.01  # seconds that connections wait in the queue while the process is short of what they need
+BACKLOG = 1024  # connections that wait in the listen queue
+MAX_ACCEPT_ERRORS = 8  # failing calls of accept in one round
+MAX_ACCEPT_ERRORS_AT_CLOSE = 64  # failing calls of accept while the queue is emptied before closing
+PAUSES_PER_EVICTION = 10  # consecutive pauses after which an idle client is evicted
+ACCEPT_PAUSE_S = 0.01  # time that connections wait in the queue while the process is short of descriptors or memory
 
 
 class ClientFactory(ServerFactory):
-    """Makes a user agent's side for each new connection."""
+    """Makes the user agent's side of each new connection."""
 
     noisy = False
 
@@ -36,85 +36,91 @@
         self.reception = reception
 
     def buildProtocol(self, addr: IAddress | None) -> UserAgent | None:  # noqa: N802, D102
-        # Without a protocol the transport closes the socket at once: nothing is cheaper.
-        return UserAgent(self.reception) if self.reception.admission.room() else None
+        # Without a protocol the transport closes the socket at once, which is the cheapest rejection.
+        return UserAgent(self.reception) if self.reception.admission.admit_client() else None
 
 
 class ClientListener(tcp.Port):
     """The listening socket.
 
-    Guards against a burst of connections that is taken whole before the first line of any is read, and before
-    those that gave way are closed: the usual clients among them would find no descriptor.
+    It accepts a limited number of connections in each round of the reactor. If a burst were accepted whole, before
+    the first line of any connection is read and before evicted connections are closed, ordinary clients in the
+    burst would find no descriptor.
     """
 
-    # Guards against a queue that ends for the process it was handed to, too.
+    # Without a shutdown: a shutdown would also end the queue for the process that the socket was handed over to.
     _shouldShutdown = False  # noqa: N815
     transport = PatientServer
-    _took = False  # whether connections were taken here up to the end
+    _was_accepting = False  # whether this process still accepted connections when the socket was told to close
 
-    def __init__(self, *args: Any, **more: Any) -> None:
-        cast(Any, super()).__init__(*args, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        cast(Any, super()).__init__(*args, **kwargs)
         self._errors = AcceptErrors()
-        self._pauses = 0  # in a row
+        self._pauses = 0  # consecutive
         self._pause: Timer | None = None  # runs while the process is short of what a connection needs
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802, D102
-        # Guards against a new version that finds no offer in $TMPDIR and can't listen beside this process.
-        made = cast(socket.socket, cast(Any, super()).createInternetSocket())
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        return made
+        # A new version that finds no hand-over socket in $TMPDIR must be able to listen beside this process.
+        created = cast(socket.socket, cast(Any, super()).createInternetSocket())
+        created.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        return created
 
     def doRead(self) -> None:  # noqa: N802
-        """Take some of the connections that wait, in place of Twisted's own loop.
+        """Accept some of the waiting connections, in place of Twisted's own loop.
 
-        Guards against connections that Twisted accepts with a reserved descriptor and closes unread where descriptors
-        are short for one call, and against tracebacks of errors that accept(2) documents.
+        When descriptors are short for a single call, Twisted's loop accepts connections with a reserved descriptor and
+        closes them unread; it also logs tracebacks for errors that accept(2) documents.
         """
-        if self._accept(CLOSING, AT_ONCE) is Remedy.SOON:
+        if self._accept(RESERVED_FOR_CLOSING, MAX_ACCEPT_ERRORS) is Remedy.SOON:
             self._pause_reading()
 
     def loseConnection(self, connDone: Any = Failure(CONNECTION_DONE)) -> Any:  # noqa: N802, N803, B008
-        """Close it soon, with nobody left in its queue."""
-        self._took = self._pause is not None or self in cast(Any, self.reactor).getReaders()  # else a new version does
+        """Close the socket in the reactor's next round, after its queue is emptied."""
+        # If this process does not accept any more, a new version of it accepts from the same queue.
+        self._was_accepting = self._pause is not None or self in cast(Any, self.reactor).getReaders()
         self._end_pause()
         return cast(Any, super()).loseConnection(connDone)
 
     stopListening = loseConnection  # noqa: N815
 
     def stopReading(self) -> None:  # noqa: N802
-        """Take no more; a pause that runs does not begin to again."""
+        """Accept no more connections; also cancel a running pause, which would resume accepting at its end."""
         self._end_pause()
         cast(Any, super()).stopReading()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Take all who stand in the queue, then close it."""
-        # Guards against requests that the system took for this process, reset unread with the queue.
+        """Accept all connections that wait in the queue, then close it."""
+        # The system has accepted these connections for this process; closing the queue would reset them unread.
         self._end_pause()
-        if self._took:
-            self._accept(BACKLOG, LAST_TRIES)
+        if self._was_accepting:
+            self._accept(BACKLOG, MAX_ACCEPT_ERRORS_AT_CLOSE)
         cast(Any, super()).connectionLost(reason)
 
-    def _accept(self, most: int, failures: int) -> Remedy:
-        """Take so many connections at most; return what ended that: nobody waits, or a shortage that lasts."""
-        taken = 0
-        while taken < most and failures > 0:
+    def _accept(self, max_clients: int, max_errors: int) -> Remedy:
+        """Accept up to ``max_clients`` connections.
+
+        Return ``NOTHING_THERE`` if the queue is empty, ``SOON`` if a shortage lasted for ``max_errors`` failing calls,
+        else ``AT_ONCE``.
+        """
+        accepted = 0
+        while accepted < max_clients and max_errors > 0:
             try:
                 sock, address = self.socket.accept()
             except OSError as error:
                 remedy = self._errors.remedy(error.errno or 0)
                 if remedy is Remedy.NOTHING_THERE:
                     return remedy
-                failures -= 1
-                if remedy is Remedy.SOON and failures <= 0:
+                max_errors -= 1
+                if remedy is Remedy.SOON and max_errors <= 0:
                     return remedy
                 continue
             self._errors.succeeded()
             self._pauses = 0
-            taken += 1
-            self._welcome(sock, address)
+            accepted += 1
+            self._open_connection(sock, address)
         return Remedy.AT_ONCE
 
-    def _welcome(self, sock: socket.socket, address: Any) -> None:
+    def _open_connection(self, sock: socket.socket, address: Any) -> None:
         try:
             protocol = cast(ClientFactory, self.factory).buildProtocol(cast(Any, self)._buildAddr(address))
             if protocol is None:
@@ -123,19 +129,19 @@
             number, self.sessionno = self.sessionno, self.sessionno + 1
             transport = cast(Any, self).transport(sock, protocol, address, self, number, self.reactor)
             cast(Any, protocol).makeConnection(transport)
-        except Exception:  # one connection's fault must not close the door to all others
-            log.exception("a new connection could not be taken")
+        except Exception:  # an error of one connection must not stop the listener
+            log.exception("could not set up a new client connection")
 
     def _pause_reading(self) -> None:
         cast(Any, super()).stopReading()
         self._pauses += 1
-        if self._pauses % PATIENT == 0:
-            # Guards against a shortage that lasts: idle clients hold what those in the queue need.
-            cast(ClientFactory, self.factory).reception.admission.shed()
+        if self._pauses % PAUSES_PER_EVICTION == 0:
+            # In a lasting shortage idle clients hold the descriptors that connections in the queue need.
+            cast(ClientFactory, self.factory).reception.admission.evict_oldest()
         if self._pause is None:
-            self._pause = cast(Reactor, self.reactor).callLater(SHORT, self._read_again)
+            self._pause = cast(Reactor, self.reactor).callLater(ACCEPT_PAUSE_S, self._resume_reading)
 
-    def _read_again(self) -> None:
+    def _resume_reading(self) -> None:
         self._pause = None
         cast(Any, self).startReading()
 
--- a/scaledeal/net/lines.py
+++ b/scaledeal/net/lines.py
@@ -11,11 +11,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from scaledeal.net.buffers import LINE, BufferPool
+from scaledeal.net.buffers import MAX_LINE_BYTES, BufferPool
 from scaledeal.net.ports import Reactor, Timer, Transport
 
 END = b"\r\n"
-READ = 2 * LINE  # bytes read at once, and bytes queued for a slow peer before the other side pauses
+READ = 2 * MAX_LINE_BYTES  # bytes read at once, and bytes queued for a slow peer before the other side pauses
 LINGER = 0.9  # seconds that a peer gets to take the last lines before its connection is reset
 DISCARDED = 1 << 18  # bytes read and dropped while closing; then a peer that sends on is not read any more
 STALL = 10.0  # seconds that a peer may take nothing while lines wait for it
@@ -176,13 +176,13 @@
         for line in lines:
             if self.closing:
                 return
-            if len(line) + len(self.delimiter) > LINE:
+            if len(line) + len(self.delimiter) > MAX_LINE_BYTES:
                 self.bad_line()
                 return
             self.line_came(line)
         if not rest or self.closing:
             return
-        if len(rest) >= LINE:
+        if len(rest) >= MAX_LINE_BYTES:
             self.bad_line()
             return
         self._part, self._filled = self.pool.take(), len(rest)
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -13,7 +13,7 @@
 
 from scaledeal import interface as api
 from scaledeal.net import config as told
-from scaledeal.net.admission import Admission, most_descriptors
+from scaledeal.net.admission import Admission, descriptor_limit
 from scaledeal.net.attempt import AttemptContext
 from scaledeal.net.buffers import BufferPool
 from scaledeal.net.client_listener import BACKLOG, ClientFactory, ClientListener
@@ -82,11 +82,11 @@
         self.driver.watch = lambda: self.discovery.watch()
         classes = {entry.name: number for number, entry in enumerate(document.classes)}
         tenants = {entry.name or str(number): number for number, entry in enumerate(document.accounts)}
-        admission = Admission(reactor, most_descriptors(config.sockets), self.driver.now)
+        admission = Admission(reactor, descriptor_limit(config.sockets), self.driver.now)
         self.driver.prober = probes = HealthProbes(
-            context, int(document.caps.idle_close), self.driver.post, admission.for_probes
+            context, int(document.caps.idle_close), self.driver.post, admission.probe_allowance
         )
-        admission.probing, admission.end_probes = probes.held, probes.give_back
+        admission.probe_connections, admission.limit_probes = probes.held, probes.give_back
         self.door = ClientFactory(
             Reception(
                 context,
@@ -308,7 +308,7 @@
         admission = self.door.reception.admission
         # Guards against a client that is cut off while it writes. Where a new version serves, nobody comes
         # any more, and all who are in get their time.
-        asking = admission.present() if self.succession.replaced else len(admission.writers)
+        asking = admission.idle_count() if self.succession.replaced else len(admission.writers)
         if self.driver.transactions or asking:
             self.reactor.callLater(0.05, self._leave_when_done)
         else:
--- a/scaledeal/net/succession.py
+++ b/scaledeal/net/succession.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable
 
-from scaledeal.net.admission import OWN
+from scaledeal.net.admission import RESERVED_DESCRIPTORS
 from scaledeal.net.carry import Carrier, resume
 from scaledeal.net.driver import Driver
 from scaledeal.net.handover import Claim, Handed, Offer, Place
@@ -84,7 +84,7 @@
 
     def succeeded(self, there: bool, serving: bool) -> None:
         """Take no more clients once a successor serves; take them again if it is lost."""
-        self.admission.lent = OWN if there else 0
+        self.admission.lent = RESERVED_DESCRIPTORS if there else 0
         if self.carrier is not None and not there:
             self.carrier.lost()
         if self.port is None or serving == self.replaced:
@@ -107,7 +107,7 @@
     def may_hold(self, count: int | None) -> None:
         """Hear how many descriptors the old process leaves; None once it is gone."""
         # Guards against two processes that together hold more descriptors than one relay may.
-        self.admission.lent = max(0, self.admission.most - count) if count is not None else 0
+        self.admission.lent = max(0, self.admission.limit - count) if count is not None else 0
         if count is None:
             self.inherited.all_left()
             # Guards against a queue that nobody reads, where the old process died before this one served.
--- a/scaledeal/net/user_agent.py
+++ b/scaledeal/net/user_agent.py
@@ -94,7 +94,7 @@
 
     def link_up(self) -> None:
         """Guard against a client that never says anything, or only ever half of it."""
-        self.reception.admission.enter(self)
+        self.reception.admission.add(self)
         self._set_timer(FIRST_LINE, self._too_late)
 
     def line_came(self, line: bytes) -> None:
@@ -116,7 +116,7 @@
     def part_came(self, part: bytes) -> None:
         """Tell the admission of a client that is writing its request."""
         if self.stage is Stage.FIRST and wording.may_be_open(part):
-            self.reception.admission.writes(self)
+            self.reception.admission.record_write(self)
 
     def bad_line(self) -> None:
         """Answer a line that is too long."""
@@ -145,16 +145,16 @@
             self.transaction.cut_off()
         self._leave(broke)
         if self.asked:
-            self.reception.admission.has_ended()
+            self.reception.admission.request_ended()
         else:
-            self.reception.admission.leave(self)
+            self.reception.admission.remove(self)
 
-    def read_now(self) -> None:
+    def read_pending(self) -> None:
         """Read what has come and waits for its turn."""
         if self.wire is not None and not self.closing:
             self.wire.doRead()
 
-    def give_way(self) -> None:
+    def close_now(self) -> None:
         """Close now: others need the descriptor."""
         self.reset()
 
@@ -185,8 +185,8 @@
             if session is not None:
                 session.cut = self._cut
         self._has_asked(Stage.ASKED, read)
-        if not reception.admission.room_to_ask():
-            reception.admission.count("no descriptor left")
+        if not reception.admission.admit_request():
+            reception.admission.count_turned_away("no descriptor left")
             self._refusal(wording.BUSY)
             return
         self.transaction = reception.take(asked(read, number, tenant, reception.context.now()), self)
@@ -195,7 +195,7 @@
         self._stop_timer()
         self.stage, self.open_line, self.asked = stage, read, True
         self.reception.ids.add(read.id)
-        self.reception.admission.has_asked(self)
+        self.reception.admission.request_received(self)
 
     def _ping(self) -> None:
         now = self.reception.context.now()
@@ -221,7 +221,7 @@
 
     def _reject(self, why: str, words: bytes = wording.ERR) -> None:
         """Answer what is no request."""
-        self.reception.admission.count(why)
+        self.reception.admission.count_turned_away(why)
         self._stop_timer()
         self.stage = Stage.OVER
         self.send(words)
@@ -307,7 +307,7 @@
         if self.current is not None:
             self.current.let_go()
         super().let_go()
-        self.reception.admission.has_ended()
+        self.reception.admission.request_ended()
 
     def keep(self) -> None:
         """Read on: no other process has it."""
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -12,7 +12,7 @@
 
 from scaledeal import interface as api
 from scaledeal.net import config as told
-from scaledeal.net.admission import OWN
+from scaledeal.net.admission import RESERVED_DESCRIPTORS
 from scaledeal.net.driver import Driver
 from scaledeal.net.ports import Reactor
 from scaledeal.net.relay import Relay
@@ -92,12 +92,12 @@
         """Take the paths' descriptors out of what lines may use."""
         admission = self.relay.door.reception.admission
         wanted = self.quic.max_paths + 4  # the front, the handover, and its two ends
-        if admission.most - wanted < OWN + LEAST_IDLE:
+        if admission.limit - wanted < RESERVED_DESCRIPTORS + LEAST_IDLE:
             raise told.ConfigError(
-                f"quic.max_paths: {wanted} descriptors of {admission.most} leave lines too few; "
-                f"{max(0, admission.most - OWN - LEAST_IDLE - 4)} paths fit"
+                f"quic.max_paths: {wanted} descriptors of {admission.limit} leave lines too few; "
+                f"{max(0, admission.limit - RESERVED_DESCRIPTORS - LEAST_IDLE - 4)} paths fit"
             )
-        admission.most -= wanted
+        admission.limit -= wanted
 
     def start(self) -> None:
         """Look for an old process, or bind the socket."""
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -235,8 +235,8 @@
             self.reactor, self.pool, self.driver.now, report_reader(("fail_rate", "rif", "x0")), 250 * MS
         )
         self.admission = Admission(self.reactor, 256, self.driver.now)
-        self.probes = HealthProbes(context, 5000 * MS, self.driver.post, self.admission.for_probes)
-        self.admission.probing, self.admission.end_probes = self.probes.held, self.probes.give_back
+        self.probes = HealthProbes(context, 5000 * MS, self.driver.post, self.admission.probe_allowance)
+        self.admission.probe_connections, self.admission.limit_probes = self.probes.held, self.probes.give_back
         self.driver.prober = self.probes
         self.service = Service(self.driver)
         self.reception = Reception(
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -11,7 +11,7 @@
 from twisted.internet import error
 
 from scaledeal import interface as api
-from scaledeal.net.admission import CLOSING, FAIR, IDLE_SHARE, OWN
+from scaledeal.net.admission import IDLE_GRACE_S, IDLE_SHARE_DIVISOR, RESERVED_DESCRIPTORS, RESERVED_FOR_CLOSING
 
 MOST = 100
 OWED = 3.0  # seconds from its connecting in which a bad client is answered or closed
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.bench = Bench()
-        self.bench.admission.most = MOST
+        self.bench.admission.limit = MOST
         self.bad: list[Bad] = []
         self.good: list[Wire] = []
         self.ids = 0
@@ -75,9 +75,9 @@
 
     @rule()
     def a_client_asks(self) -> None:
-        self.bench.reactor.advance(FAIR + 0.01)  # those who came in one burst with it may have taken all
+        self.bench.reactor.advance(IDLE_GRACE_S + 0.01)  # those who came in one burst with it may have taken all
         self.flush()
-        if 2 * (len(self.good) + 1) + OWN + MOST // IDLE_SHARE > MOST:
+        if 2 * (len(self.good) + 1) + RESERVED_DESCRIPTORS + MOST // IDLE_SHARE_DIVISOR > MOST:
             return
         self.ids += 1
         wire = self.bench.client()
@@ -88,9 +88,9 @@
     @rule(crowd=st.integers(0, 40), says=st.sampled_from([b"", b"OPEN 1", b"PING\r\n"]))
     def a_client_asks_slowly(self, crowd: int, says: bytes) -> None:
         # Guards against one that takes 2 s to write being taken for one of those that never end their line.
-        self.bench.reactor.advance(FAIR + 0.01)
+        self.bench.reactor.advance(IDLE_GRACE_S + 0.01)
         self.flush()
-        if 2 * (len(self.good) + 1) + OWN + MOST // IDLE_SHARE > MOST:
+        if 2 * (len(self.good) + 1) + RESERVED_DESCRIPTORS + MOST // IDLE_SHARE_DIVISOR > MOST:
             return
         self.ids += 1
         line = b"OPEN a%d 7f3a c=browse,d=80000000\r\n" % self.ids
@@ -118,7 +118,7 @@
 
     @invariant()
     def all_are_within_their_limits(self) -> None:
-        assert self.held() <= MOST - OWN + CLOSING
+        assert self.held() <= MOST - RESERVED_DESCRIPTORS + RESERVED_FOR_CLOSING
         assert all(not w.lost and not w.fin_due for w in self.good)
         now = self.bench.reactor.seconds()
         for bad in self.bad:
@@ -130,33 +130,33 @@
         for _ in range(80):
             self.bench.reactor.advance(0.05)
             self.flush()
-        assert all(bad.wire.lost for bad in self.bad) and not self.bench.admission.present()
-        assert not self.bench.admission.going and self.bench.pool.out == 0
+        assert all(bad.wire.lost for bad in self.bad) and not self.bench.admission.idle_count()
+        assert not self.bench.admission.closing and self.bench.pool.in_use == 0
         for wire in self.good:
             wire.lose(error.ConnectionLost())
-        assert self.bench.admission.asked == 0 and not self.bench.reception.ids
+        assert self.bench.admission.active == 0 and not self.bench.reception.ids
 
 
 def test_bad_clients_in_any_number_starve_nobody():
     run_state_machine_as_test(Clients, settings=settings(max_examples=60, stateful_step_count=25))
     assert Clients.slow > 20
-    assert Clients.seen >= (MOST - OWN) // 2, "there were never many at once"
+    assert Clients.seen >= (MOST - RESERVED_DESCRIPTORS) // 2, "there were never many at once"
 
 
 def test_two_processes_of_one_relay_never_hold_more_than_its_descriptors():
     old, new = Bench(), Bench()
     for each in (old, new):
-        each.admission.most = 2 * MOST
+        each.admission.limit = 2 * MOST
     for number in range(20):
         old.client().receive(b"OPEN a%d 7f3a c=browse,d=80000000\r\n" % number)
     asking = [old.client() for _ in range(9)]
     # The old one takes nobody from here on; the new one gets what is left even if all who are there ask.
     spare = old.admission.spare()
-    new.admission.lent = new.admission.most - spare
+    new.admission.lent = new.admission.limit - spare
     for number, each in enumerate(asking):
         each.receive(b"OPEN b%d 7f3a c=browse,d=80000000\r\n" % number)
     came = [wire for _ in range(3 * MOST) if (wire := new.knock())]
     new.reactor.advance(0)  # those that gave way are closed
-    held = OWN + 2 * old.admission.asked + OWN + sum(not wire.lost for wire in came)
-    assert old.admission.asked == 29 and came and held <= 2 * MOST
+    held = RESERVED_DESCRIPTORS + 2 * old.admission.active + RESERVED_DESCRIPTORS + sum(not wire.lost for wire in came)
+    assert old.admission.active == 29 and came and held <= 2 * MOST
     assert old.admission.spare() == spare, "an idle client who asks was counted as such"
--- a/tests/test_carry_model.py
+++ b/tests/test_carry_model.py
@@ -101,7 +101,7 @@
         self.nothing_is_left_of_it(self.bench)
         told = new.module.of(api.OpenConnection)[0]
         assert (told.server, told.key, told.group, told.inherited) == ("a", "7f3a", "5c0f", True)
-        assert new.reception.ids == {"9b1f"} and new.admission.asked == 1 and not new.admission.silent
+        assert new.reception.ids == {"9b1f"} and new.admission.active == 1 and not new.admission.silent
         self.before_client += self.client.sent
         self.before_server += self.server.sent
         self.bench, (self.client, self.server) = new, new.reactor.adopted
@@ -110,7 +110,7 @@
 
     def nothing_is_left_of_it(self, bench: Bench) -> None:
         assert not bench.driver.transactions and not bench.reception.ids
-        assert bench.admission.asked == 0 == bench.pool.out and not bench.admission.silent
+        assert bench.admission.active == 0 == bench.pool.in_use and not bench.admission.silent
         gone, ended = bench.module.of(api.ClientGone), bench.module.of(api.Outcome)
         assert len(ended) == 1 and ended[0].last and ended[0].result is api.Result.CANCELLED
         assert [each.request for each in gone] == [ended[0].request] or self.over
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -15,8 +15,8 @@
 from twisted.python.failure import Failure
 
 from scaledeal import interface as api
-from scaledeal.net.admission import CLOSING, OWN
-from scaledeal.net.buffers import LINE
+from scaledeal.net.admission import RESERVED_DESCRIPTORS, RESERVED_FOR_CLOSING
+from scaledeal.net.buffers import MAX_LINE_BYTES
 from scaledeal.net.client_listener import ClientFactory, ClientListener
 from scaledeal.net.transaction import SLACK
 
@@ -57,9 +57,9 @@
     "reset, half written": (20, b"", resets, "connect_failed"),
     "end, half written": (20, b"", ends, "connect_failed"),
     "turned away, nothing written": (0, b"BUSY\r\n", ends, "full"),
-    "reset, written": (LINE, b"", resets, "reset"),
-    "end, written": (LINE, b"", ends, "reset"),
-    "reset behind half an answer": (LINE, b"UP 7", resets, "reset"),
+    "reset, written": (MAX_LINE_BYTES, b"", resets, "reset"),
+    "end, written": (MAX_LINE_BYTES, b"", ends, "reset"),
+    "reset behind half an answer": (MAX_LINE_BYTES, b"UP 7", resets, "reset"),
 }
 
 
@@ -164,20 +164,20 @@
 
 @pytest.mark.parametrize("over", [0, 1])
 def test_a_first_line_of_4_kib_cut_near_its_end(over: int) -> None:
-    whole = (OPENS[0] + b",x=").ljust(LINE - 2 + over, b"y") + b"\r\n"
+    whole = (OPENS[0] + b",x=").ljust(MAX_LINE_BYTES - 2 + over, b"y") + b"\r\n"
     for cut in range(len(whole) - 4, len(whole) + 1):
         bench = Bench()
         client = bench.client()
         client.receive(whole[:cut])
         client.receive(whole[cut:])
         assert client.lines() == [b"ERR"] * over and len(bench.driver.transactions) == 1 - over, f"cut at {cut}"
-        assert bench.pool.out == 0
+        assert bench.pool.in_use == 0
 
 
 # A final answer in time, in every state of a request
 
 
-def up(one: OneRelay, write: int = LINE) -> list[Wire]:
+def up(one: OneRelay, write: int = MAX_LINE_BYTES) -> list[Wire]:
     """Bring every attempt up, with so many bytes of its line written once; return those that are up."""
     for each in one.attempts():
         if each.wire is None and not each.over:
@@ -262,7 +262,7 @@
             assert len(finals(client)) == 1 and client.fin_due, where
             play(one, act, began + wait + 4)
             assert len(client.lines()) == 1 and (term is None or one.stopped), where
-            assert not one.relay.driver.transactions and one.relay.door.reception.context.pool.out == 0, where
+            assert not one.relay.driver.transactions and one.relay.door.reception.context.pool.in_use == 0, where
             assert all(each.over for each in one.attempts()) and not [w for w in up(one, 0) if not w.closing], where
 
 
@@ -303,7 +303,7 @@
     client = bench.client()
     client.receive(OPENS[0] + b"\r\n")
     bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
-    client.receive(b"x" * LINE)
+    client.receive(b"x" * MAX_LINE_BYTES)
     assert client.lines() == [b"ERR"] and client.fin_due and not client.aborted
     assert bench.reactor.dialled[0].over and not bench.driver.transactions
     assert bench.admission.turned_away == {"line too long": 1}
@@ -312,7 +312,7 @@
 def test_a_request_that_has_come_is_read_before_its_client_has_to_give_way() -> None:
     # Guards against a request in the socket that is shut unread, as its client looked silent.
     bench = Bench()
-    bench.admission.most = OWN + 8
+    bench.admission.limit = RESERVED_DESCRIPTORS + 8
     asks, writes, silent, *others = clients = [bench.client() for _ in range(8)]
     for number, each in enumerate((asks, *others)):
         each.unread = b"OPEN %x k c=browse,d=2000\r\n" % number
@@ -331,14 +331,14 @@
 def test_clients_that_ask_all_at_once_are_answered_and_pass_no_limit() -> None:
     # Guards against descriptors that are passed, or run out on a dial, when those who rested all ask in one moment.
     bench = Bench()
-    bench.admission.most = OWN + 40
+    bench.admission.limit = RESERVED_DESCRIPTORS + 40
     clients = [bench.client() for _ in range(40)]
     for number, each in enumerate(clients):
         each.receive(b"OPEN %x k c=browse,d=2000\r\n" % number)
         for asked in bench.module.of(api.Request)[len(bench.reactor.dialled) :]:
             bench.act(api.Send(asked.request, "a", 0))
     held = sum(not each.lost for each in clients) + len(bench.reactor.dialled)
-    assert held <= 40 + CLOSING and len(bench.reactor.dialled) >= 20 - CLOSING
+    assert held <= 40 + RESERVED_FOR_CLOSING and len(bench.reactor.dialled) >= 20 - RESERVED_FOR_CLOSING
     answers = [each.lines() for each in clients if not each.aborted]
     assert answers.count([b"BUSY"]) + len(bench.reactor.dialled) == len(answers)
 
@@ -399,7 +399,9 @@
     listener.startListening()
     at = ("127.0.0.1", listener.getHost().port)
     listener.stopListening()
-    clients = [socket.create_connection(at) for _ in range(2 * CLOSING + 3)]  # it closes in the reactor's next round
+    clients = [
+        socket.create_connection(at) for _ in range(2 * RESERVED_FOR_CLOSING + 3)
+    ]  # it closes in the reactor's next round
     for number, each in enumerate(clients):
         each.sendall(b"OPEN %x k c=browse,d=2000\r\n" % number)
     for _ in range(200):
--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -354,7 +354,7 @@
         for outcome in self.events(api.Outcome):
             self.reached[outcome.result.value] += 1
         assert not self.bench.driver.transactions
-        assert self.bench.pool.out == 0
+        assert self.bench.pool.in_use == 0
         assert all(w.lost for w in self.bench.wires())
         assert len(self.events(api.Outcome)) == self.sends
         assert self.bench.reactor.getDelayedCalls() == []
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -13,8 +13,14 @@
 
 from scaledeal import interface as api
 from scaledeal.net import discovery_watch, wording
-from scaledeal.net.admission import CLOSING, OWN, PROBES, SUMMARY, most_descriptors
-from scaledeal.net.buffers import LINE, BufferPool
+from scaledeal.net.admission import (
+    RESERVED_DESCRIPTORS,
+    RESERVED_FOR_CLOSING,
+    RESERVED_FOR_PROBES,
+    SUMMARY_INTERVAL_S,
+    descriptor_limit,
+)
+from scaledeal.net.buffers import MAX_LINE_BYTES, BufferPool
 from scaledeal.net.delays import Delays
 from scaledeal.net.lines import DISCARDED, LINGER, STALL, LineLink
 from scaledeal.net.load_lines import LoadLines
@@ -163,23 +169,23 @@
 
 
 def test_buffers_are_of_one_size_and_used_again():
-    pool = BufferPool(kept=1)
+    pool = BufferPool(max_free=1)
     first, second = pool.take(), pool.take()
     pool.give_back(first)
     pool.give_back(second)
-    assert pool.take() is first and len(first) == LINE and len(pool.free) == 0 and pool.out == 1
+    assert pool.take() is first and len(first) == MAX_LINE_BYTES and len(pool.free) == 0 and pool.in_use == 1
 
 
-@pytest.mark.parametrize("size", [LINE - 2, LINE - 1, 3 * LINE])
+@pytest.mark.parametrize("size", [MAX_LINE_BYTES - 2, MAX_LINE_BYTES - 1, 3 * MAX_LINE_BYTES])
 def test_a_line_of_4_kib_passes_and_a_longer_one_is_answered(size):
     bench = Bench()
     client = bench.client()
     line = (OPEN[:-2] + b",x=").ljust(size, b"y")
-    client.receive(line[: LINE - 2])
-    client.receive(line[LINE - 2 :] + b"\r\n")
-    assert len(bench.module.of(api.Request)) == (size == LINE - 2)
-    assert client.lines() == ([] if size == LINE - 2 else [b"ERR"])
-    assert bench.pool.out == 0
+    client.receive(line[: MAX_LINE_BYTES - 2])
+    client.receive(line[MAX_LINE_BYTES - 2 :] + b"\r\n")
+    assert len(bench.module.of(api.Request)) == (size == MAX_LINE_BYTES - 2)
+    assert client.lines() == ([] if size == MAX_LINE_BYTES - 2 else [b"ERR"])
+    assert bench.pool.in_use == 0
 
 
 def test_a_connect_that_does_not_come_up_never_ran():
@@ -305,7 +311,7 @@
     assert client.lines() == told and client.fin_sent
     bench.reactor.advance(LINGER)
     bench.reactor.advance(0)
-    assert client.lost and bench.pool.out == 0 and not bench.module.of(api.Request)
+    assert client.lost and bench.pool.in_use == 0 and not bench.module.of(api.Request)
 
 
 def test_a_front_that_goes_on_asking_stays_and_a_flood_does_not():
@@ -349,8 +355,8 @@
     client = bench.client()
     for _ in range(100):
         if not client.paused:
-            client.receive(b"k" * LINE)
-    assert client.lines() == [b"ERR"] and client.paused and client.link._discarded < DISCARDED + 2 * LINE
+            client.receive(b"k" * MAX_LINE_BYTES)
+    assert client.lines() == [b"ERR"] and client.paused and client.link._discarded < DISCARDED + 2 * MAX_LINE_BYTES
     bench.reactor.advance(LINGER)
     bench.reactor.advance(0)
     assert client.lost
@@ -394,9 +400,9 @@
     bench = Bench()
     for _ in range(40):
         bench.client().receive(b"frob\r\n")
-    bench.reactor.advance(SUMMARY)
-    assert [r.getMessage() for r in caplog.records] == ["turned away in 10 s: 40 no request"]
-    bench.reactor.advance(2 * SUMMARY)
+    bench.reactor.advance(SUMMARY_INTERVAL_S)
+    assert [r.getMessage() for r in caplog.records] == ["clients turned away in 10 s: 40 no request"]
+    bench.reactor.advance(2 * SUMMARY_INTERVAL_S)
     assert len(caplog.records) == 1 and bench.reactor.getDelayedCalls() == []
 
 
@@ -406,7 +412,7 @@
 )
 def test_the_descriptors_are_what_is_stated_and_allowed(monkeypatch, stated, soft, most):
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, soft))
-    assert most_descriptors(stated) == most
+    assert descriptor_limit(stated) == most
 
 
 def test_lines_sent_before_the_answer_wait_for_it():
@@ -610,12 +616,14 @@
         bench.reactor.dialled[-1].up(bench.reactor).receive(b"PONG\r\n")
         bench.reactor.advance(0)
     held = [wire for wire in bench.wires() if not wire.lost]
-    assert len(held) == bench.probes.held() <= PROBES + (256 - OWN) // 2
+    assert len(held) == bench.probes.held() <= RESERVED_FOR_PROBES + (256 - RESERVED_DESCRIPTORS) // 2
     clients = 0
     while (client := bench.knock()) is not None:
         clients += 1
         client.receive(OPEN.replace(b"9b1f", b"%x" % clients))
         held = [wire for wire in bench.reactor.up if not wire.lost and not wire.closing]
-        assert OWN - PROBES + len(held) + clients <= 256 + CLOSING, f"{clients} clients, each with its attempt"
-    assert clients == (256 - OWN) // 2, "all that there is room for"
-    assert bench.probes.held() <= PROBES, "clients had to go for idle probes"
+        assert RESERVED_DESCRIPTORS - RESERVED_FOR_PROBES + len(held) + clients <= 256 + RESERVED_FOR_CLOSING, (
+            f"{clients} clients, each with its attempt"
+        )
+    assert clients == (256 - RESERVED_DESCRIPTORS) // 2, "all that there is room for"
+    assert bench.probes.held() <= RESERVED_FOR_PROBES, "clients had to go for idle probes"
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -159,7 +159,7 @@
     assert len(caller.lines()) == (3 if sent == b"INFO\n" else 1)
     calls.bench.reactor.advance(LINGER + 0.1)
     calls.bench.reactor.advance(0)
-    assert caller.lost and not calls.operators.callers and calls.bench.pool.out == 0
+    assert caller.lost and not calls.operators.callers and calls.bench.pool.in_use == 0
 
 
 def test_callers_that_stall_are_bounded_in_time_and_number_and_hold_nobody_up():
@@ -174,4 +174,4 @@
     assert calls.caller(b"PING\n").lines() == [b"ok serving"]
     calls.bench.reactor.advance(0)
     assert sum(not each.lost for each in stalling) < CALLERS == len(calls.operators.callers)
-    assert calls.bench.pool.out <= CALLERS
+    assert calls.bench.pool.in_use <= CALLERS
