--- a/scaledeal/net/app_server.py
+++ b/scaledeal/net/app_server.py
@@ -44,11 +44,11 @@
         """Pass it on."""
         self.owner.link_up()
 
-    def line_came(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         """Pass it on."""
         self.owner.line_came(line)
 
-    def sending_ended(self) -> None:
+    def peer_ended_sending(self) -> None:
         """Treat the end of an application server's sending as the end of the connection."""
         self.close()
 
--- a/scaledeal/net/attempt.py
+++ b/scaledeal/net/attempt.py
@@ -128,7 +128,7 @@
     def let_go(self) -> None:
         """Give up a connection that another process has."""
         self.stage = Stage.ENDING
-        self.link.let_go()
+        self.link.release()
 
     # What the user agent's side calls
 
--- a/scaledeal/net/carry.py
+++ b/scaledeal/net/carry.py
@@ -105,8 +105,8 @@
     agent.resumed(read, transaction, current)
     current.resumed(paused.asked_at)
     _adopt(reception.context.reactor, descriptors[1], current.link)
-    agent.paired_with(current.link)
-    current.link.paired_with(agent)
+    agent.set_sink(current.link)
+    current.link.set_sink(agent)
     agent.dataReceived(paused.of_client)
     current.link.dataReceived(paused.of_server)
     return True
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -51,7 +51,7 @@
         self.transactions: dict[str, Transaction] = {}
         self.addresses: dict[str, str] = {}  # where each application server was last said to be
         self.delays = Delays(tuple(each.message_aim for each in settings.classes), self.now)
-        self.load_lines = LoadLines(self.delays.least / 1e6, self.now)
+        self.load_lines = LoadLines(self.delays.threshold / 1e6, self.now)
         self.load_reports = LoadReports(settings)
         self.figures = figures
         self.invariants = Invariants(self.now)
--- a/scaledeal/net/fault_log.py
+++ b/scaledeal/net/fault_log.py
@@ -1,47 +1,47 @@
-"""Bad input in the log: each kind of fault is logged once for a row of servers that show it, and with its number."""
+"""Rate-limited logging of bad input: one line when servers start to show a kind of fault, one when all are sound."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterable, Mapping
 
-NAMED = 3  # servers that one line names
-SOUND = 8  # good values in a row that end a fault, where servers tell one after another
-MOST = 4096  # servers that are remembered as faulty; the oldest is forgotten first
+MAX_NAMED_SERVERS = 3  # in one line
+GOOD_VALUES_TO_RECOVER = 8  # consecutive good values that end a fault, where servers report one after another
+MAX_FAULTY_SERVERS = 4096  # servers that are remembered as faulty; the oldest is forgotten first
 
 
 class FaultLog:
-    """One kind of fault, the servers that show it now, and how often it came since all of them were sound."""
+    """One kind of fault, the servers that show it now, and how often it occurred since all of them were sound."""
 
-    def __init__(self, log: logging.Logger, what: str, sound: int = 1) -> None:
-        """``sound`` tells how many good values in a row end a server's fault."""
+    def __init__(self, log: logging.Logger, description: str, recovery: int = 1) -> None:
+        """Take the ``description`` that starts each line, and how many consecutive good values end a server's fault."""
         self.log = log
-        self.what = what
-        self.sound = sound
+        self.description = description
+        self.recovery = recovery
         self.count = 0
-        self.shown: dict[str, int] = {}  # by server, how many good values are still to come
+        self.faulty: dict[str, int] = {}  # by server, how many good values are missing until its fault ends
 
-    def bad(self, faults: Mapping[str, str]) -> None:
-        """Hear of faults, by server; one line tells those of the servers that had none, ``what`` came where."""
-        fresh = {server: why for server, why in faults.items() if server not in self.shown}
+    def record_faults(self, faults: Mapping[str, str]) -> None:
+        """Count faults, given by server with their details; log those of servers that had none before in one line."""
+        fresh = {server: why for server, why in faults.items() if server not in self.faulty}
         self.count += len(faults)
-        self.shown.update(dict.fromkeys(faults, self.sound))
-        for server in list(self.shown)[: len(self.shown) - MOST]:
-            del self.shown[server]
+        self.faulty.update(dict.fromkeys(faults, self.recovery))
+        for server in list(self.faulty)[: len(self.faulty) - MAX_FAULTY_SERVERS]:
+            del self.faulty[server]
         if fresh:
-            named = ", ".join(f"{server} ({why})" for server, why in list(fresh.items())[:NAMED])
-            more = f" and {len(fresh) - NAMED} more" if len(fresh) > NAMED else ""
-            self.log.warning("%s, not taken: %s%s", self.what, named, more)
+            named = ", ".join(f"{server} ({why})" for server, why in list(fresh.items())[:MAX_NAMED_SERVERS])
+            more = f" and {len(fresh) - MAX_NAMED_SERVERS} more" if len(fresh) > MAX_NAMED_SERVERS else ""
+            self.log.warning("%s, not taken: %s%s", self.description, named, more)
 
-    def good(self, servers: Iterable[str]) -> None:
-        """Hear of servers that showed no such fault this time; the last of a row is told with the number of all."""
-        if not self.shown:
+    def record_good(self, servers: Iterable[str]) -> None:
+        """Record a good value of each server; when no server is faulty any more, log the number of all faults."""
+        if not self.faulty:
             return
         for server in servers:
-            if left := self.shown.get(server):
-                self.shown[server] = left - 1
+            if left := self.faulty.get(server):
+                self.faulty[server] = left - 1
                 if left == 1:
-                    del self.shown[server]
-        if not self.shown:
-            self.log.info("%s: no more, after %d", self.what, self.count)
+                    del self.faulty[server]
+        if not self.faulty:
+            self.log.info("%s: no more, after %d", self.description, self.count)
             self.count = 0
--- a/scaledeal/net/lines.py
+++ b/scaledeal/net/lines.py
@@ -1,4 +1,4 @@
-"""A connection that speaks lines: the one owner of its socket, its buffer and its closing timers."""
+"""A connection of the line protocol; it alone owns its socket, its buffer and its closing timers."""
 
 from __future__ import annotations
 
@@ -15,63 +15,64 @@
 from scaledeal.net.ports import Reactor, Timer, Transport
 
 END = b"\r\n"
-READ = 2 * MAX_LINE_BYTES  # bytes read at once, and bytes queued for a slow peer before the other side pauses
-LINGER = 0.9  # seconds that a peer gets to take the last lines before its connection is reset
-DISCARDED = 1 << 18  # bytes read and dropped while closing; then a peer that sends on is not read any more
-STALL = 10.0  # seconds that a peer may take nothing while lines wait for it
+READ_BYTES = 2 * MAX_LINE_BYTES  # read at once; also queued for a slow peer before the other end pauses reading
+CLOSE_TIMEOUT_S = 0.9  # time in which a peer can read the last lines before its connection is reset
+MAX_DISCARDED_BYTES = 1 << 18  # read and dropped while closing; beyond it the peer's data is not read any more
+STALL_TIMEOUT_S = 10.0  # time in which a peer may read nothing while lines are queued for it
 
 
 @implementer(IHalfCloseableProtocol)
 class LineLink(LineOnlyReceiver):
-    """One end of a TCP connection; a subclass hears ``line_came``, ``sending_ended`` and ``link_lost``."""
+    """One end of a TCP connection; a subclass overrides the callbacks, such as ``line_received``."""
 
     delimiter = END
 
     def __init__(self, reactor: Reactor, pool: BufferPool) -> None:
         self.reactor = reactor
         self.pool = pool
-        self.wire: Transport | None = None  # none before the connection stands and after it is lost
-        self.closing = False  # no line is taken or sent any more
-        self.closed_here = False  # once it is over: whether this end closed it
-        self._part: bytearray | None = None
-        self._filled = 0
-        self._timer: Timer | None = None  # the linger while closing, the stall while the sink takes nothing
+        self.wire: Transport | None = None  # None before the connection is established and after it is lost
+        self.closing = False  # lines are neither received nor sent any more
+        self.closed_here = False  # once the connection is over: whether this end closed it
+        self._partial: bytearray | None = None
+        self._partial_size = 0
+        self._timer: Timer | None = None  # the close timeout while closing, the stall timeout while reading is paused
         self._sink: LineLink | None = None
         self._peer_ended = False
         self._discarded = 0
 
-    # What a subclass fills in
+    # Callbacks that a subclass overrides
 
-    def line_came(self, line: bytes) -> None:
-        """Take one line, its end cut off."""
+    def line_received(self, line: bytes) -> None:
+        """Handle one line, without its end."""
 
-    def part_came(self, part: bytes) -> None:
-        """Hear what has come so far of a line that is not whole."""
+    def partial_line_received(self, part: bytes) -> None:
+        """Handle the beginning of an incomplete line: all of it that has been received so far."""
 
-    def bad_line(self) -> None:
-        """Hear that a line was too long; the connection is of no more use."""
+    def line_too_long(self) -> None:
+        """Handle a line above ``MAX_LINE_BYTES``; no further line of the connection can be used."""
         self.reset()
 
-    def sending_ended(self) -> None:
-        """Hear that the peer ended its sending."""
+    def peer_ended_sending(self) -> None:
+        """Handle the end of the peer's sending."""
 
     def link_up(self) -> None:
-        """Hear that the connection stands."""
+        """Handle the establishment of the connection."""
 
     def link_lost(self, broke: bool) -> None:
-        """Hear that the connection is over, and whether it broke."""
+        """Handle the end of the connection; ``broke`` is False if it was closed in order or by this end."""
 
-    # What others call
+    # Methods that other objects call
 
     def send(self, line: bytes) -> None:
-        """Queue one line."""
+        """Queue one line; ignored if the connection is closing or lost."""
         if self.wire is not None and not self.closing:
             self.wire.write(line + END)
 
     def end(self) -> None:
-        """Write what is queued, end the sending and close once the peer has ended its own.
+        """Write the queued lines, end the sending, and close once the peer has ended its own sending.
 
-        Guards against a last line that the peer never reads: closing with its lines unread would reset it.
+        Closing while lines of the peer are unread would reset the connection, and the peer might never read the last
+        line.
         """
         if self._begin_closing() is not None and self.wire is not None:
             if self._peer_ended:
@@ -81,73 +82,76 @@
                 self.wire.loseWriteConnection()
 
     def close(self) -> None:
-        """Close once what is queued is written, whatever the peer still says."""
+        """Close once the queued lines are written, whatever the peer still sends."""
         if self._begin_closing() is not None and self.wire is not None:
             self.wire.loseConnection()
 
     def reset(self) -> None:
-        """Close now, whatever is queued."""
+        """Reset the connection at once and drop the queued lines."""
         if self.wire is not None:
             self.closing = True
             self.wire.abortConnection()
 
-    def break_off(self) -> None:
-        """Write what the peer takes now, and close; a reset alone takes along what the loop has not written yet."""
+    def flush_and_reset(self) -> None:
+        """Write what the socket takes now, then reset; a reset alone drops all that the reactor has not written yet."""
         if self.wire is not None and self.wire in self.reactor.getWriters():
             self.wire.doWrite()
         self.reset()
 
     def end_sending(self) -> None:
-        """End the sending once what is queued is written."""
+        """End the sending once the queued lines are written."""
         if self.wire is not None and not self.closing:
             self.wire.loseWriteConnection()
 
-    def paired_with(self, other: LineLink) -> None:
-        """Pause this end's reading while the other end has too much queued."""
+    def set_sink(self, other: LineLink) -> None:
+        """Pause this end's reading while the other end, to which its lines go, has too much queued."""
         if self.wire is not None and other.wire is not None and not (self.closing or other.closing):
             self._sink = other
             other.wire.registerProducer(self, True)
 
-    def partial(self) -> bool:
-        """Tell whether a line has begun that is not whole."""
-        return self._part is not None
+    def has_partial_line(self) -> bool:
+        """Return whether the beginning of an incomplete line has been received."""
+        return self._partial is not None
 
-    # Another process
+    # Hand-over to another process
 
-    def quiet(self) -> bool:
-        """Tell whether nothing is under way here: the connection can be handed over."""
+    def is_idle(self) -> bool:
+        """Return whether the connection can be handed over: it is open in both directions and nothing is queued."""
         idle = self.wire is not None and not self.closing and not self._peer_ended
         return idle and self.wire not in self.reactor.getWriters()
 
-    def hold(self) -> tuple[int, bytes]:
-        """Stop reading; return the descriptor, and what has come of a line that is not whole."""
+    def pause_for_handover(self) -> tuple[int, bytes]:
+        """Stop reading; return the descriptor and the beginning of an incomplete line.
+
+        The connection must be established.
+        """
         assert self.wire is not None
         self.wire.pauseProducing()
-        return self.wire.getHandle().fileno(), bytes(memoryview(self._part or b"")[: self._filled])
+        return self.wire.getHandle().fileno(), bytes(memoryview(self._partial or b"")[: self._partial_size])
 
-    def go_on(self) -> None:
-        """Read on after ``hold``."""
+    def resume_after_handover(self) -> None:
+        """Resume reading after ``pause_for_handover``: no other process has taken the connection."""
         if self.wire is not None:
             self.wire.resumeProducing()
 
-    def let_go(self) -> None:
-        """Give up the socket without ending the connection: another process has it."""
+    def release(self) -> None:
+        """Close the descriptor without ending the connection: another process has it."""
         wire, self.wire, self.closing = self.wire, None, True
         self._stop_timer()
-        self._give_back()
+        self._free_buffer()
         if wire is not None:
             wire.unregisterProducer()
             wire.stopReading()
             wire.stopWriting()
-            # Guards against an end that the peer would see: closed here, and not shut down.
+            # Not shut down: a shutdown would end the connection for the peer and for the other process.
             wire.getHandle().close()
 
-    # The producer that the other end's transport pauses
+    # IPushProducer: the other end's transport pauses this end
 
     def pauseProducing(self) -> None:  # noqa: N802, D102
         if self.wire is not None and not self.closing:
             self.wire.pauseProducing()
-            self._set_timer(STALL, self._stalled)
+            self._set_timer(STALL_TIMEOUT_S, self._stalled)
 
     def resumeProducing(self) -> None:  # noqa: N802, D102
         if self.wire is not None and not self.closing:
@@ -155,13 +159,13 @@
             self.wire.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802, D102
-        """Nothing: the owners of both ends close them."""
+        """Do nothing: the owners of both ends close them."""
 
-    # Twisted's side
+    # Twisted's protocol callbacks
 
     def connectionMade(self) -> None:  # noqa: N802, D102
         self.wire = cast(Transport, self.transport)
-        self.wire.bufferSize = READ
+        self.wire.bufferSize = READ_BYTES
         self.wire.setTcpNoDelay(True)
         self.link_up()
 
@@ -169,47 +173,47 @@
         if self.closing:
             self._discard(len(data))
             return
-        if self._part is not None:
-            data = bytes(memoryview(self._part)[: self._filled]) + data
-            self._give_back()
+        if self._partial is not None:
+            data = bytes(memoryview(self._partial)[: self._partial_size]) + data
+            self._free_buffer()
         *lines, rest = data.split(self.delimiter)
         for line in lines:
             if self.closing:
                 return
             if len(line) + len(self.delimiter) > MAX_LINE_BYTES:
-                self.bad_line()
+                self.line_too_long()
                 return
-            self.line_came(line)
+            self.line_received(line)
         if not rest or self.closing:
             return
         if len(rest) >= MAX_LINE_BYTES:
-            self.bad_line()
+            self.line_too_long()
             return
-        self._part, self._filled = self.pool.take(), len(rest)
-        self._part[: len(rest)] = rest
-        self.part_came(rest)
+        self._partial, self._partial_size = self.pool.take(), len(rest)
+        self._partial[: len(rest)] = rest
+        self.partial_line_received(rest)
 
     def readConnectionLost(self) -> None:  # noqa: N802, D102
         self._peer_ended = True
         if not self.closing:
-            self.sending_ended()
+            self.peer_ended_sending()
         elif self.wire is not None:
             self.wire.loseConnection()
 
     def writeConnectionLost(self) -> None:  # noqa: N802, D102
-        """Nothing: the end of the connection is told by ``connectionLost``."""
+        """Do nothing: ``connectionLost`` follows at the end of the connection."""
 
     def connectionLost(self, reason: Failure = cast(Failure, None)) -> None:  # noqa: N802, B008, D102
         self.wire = None
         self.closing, self.closed_here = True, self.closing
         self._stop_timer()
-        self._give_back()
+        self._free_buffer()
         self.link_lost(reason.check(error.ConnectionDone, error.ConnectionAborted) is None)
 
     def _discard(self, count: int) -> None:
-        # Guards against a peer that has 60 MB to send after its last answer: reading it is of no use.
+        # Stop reading a peer that sends on, for example 60 MB, after its last answer.
         self._discarded += count
-        if self._discarded > DISCARDED and self.wire is not None:
+        if self._discarded > MAX_DISCARDED_BYTES and self.wire is not None:
             self.wire.pauseProducing()
 
     def _begin_closing(self) -> Timer | None:
@@ -217,10 +221,10 @@
             return None
         self.closing = True
         self.wire.unregisterProducer()
-        return self._set_timer(LINGER, self.reset)
+        return self._set_timer(CLOSE_TIMEOUT_S, self.reset)
 
     def _stalled(self) -> None:
-        """Guard against a silent peer that holds on to both connections and to all that is queued."""
+        """Reset a peer that reads nothing: it would keep both connections and all queued lines for ever."""
         if self._sink is not None:
             self._sink.reset()
 
@@ -234,7 +238,7 @@
             self._timer.cancel()
         self._timer = None
 
-    def _give_back(self) -> None:
-        if self._part is not None:
-            self.pool.give_back(self._part)
-        self._part = None
+    def _free_buffer(self) -> None:
+        if self._partial is not None:
+            self.pool.give_back(self._partial)
+        self._partial = None
--- a/scaledeal/net/load_lines.py
+++ b/scaledeal/net/load_lines.py
@@ -1,11 +1,11 @@
-"""Reads LOAD lines: the same words carry a connection's load and, at times, the time a message takes.
-
-The settings say that application servers tell both (``Specifics.Notes``): the load in microseconds of work a
-second, when it changes, and the milliseconds that a message takes there, once a second while they are many
-and once more when they are few again. On the wire both come as ``LOAD X``, without a mark. Taken for a load,
-a time makes a crowded server look idle. What tells them apart: a connection's first LOAD is its load, and
-times come exactly a second apart, at least two in a row; so a value far under the connection's load waits
-for a second one before it counts as either.
+"""Reads LOAD lines: the same word carries a connection's load and, at times, the delay of messages at a server.
+
+The settings say that application servers report both (``Specifics.Notes``): the load in microseconds of work a
+second, when it changes; and the delay of a message in milliseconds, once a second while it is high and one more time
+when it is low again. On the wire both are ``LOAD X``, without a mark. A delay that is taken for a load makes a crowded
+server look idle. Two properties tell them apart: a connection's first LOAD is its load; and delays come exactly a
+second apart, at least two in a row. So a value far below the connection's load is held back, as neither, until a
+second one comes or its time is over.
 """
 
 from __future__ import annotations
@@ -17,87 +17,98 @@
 import msgspec
 
 from scaledeal import interface as api
-from scaledeal.net.fault_log import SOUND, FaultLog
+from scaledeal.net.fault_log import GOOD_VALUES_TO_RECOVER, FaultLog
 
 log = logging.getLogger("scaledeal.reports")
 
 MS = 1_000_000
-PERIOD = 1000 * MS
-JITTER = 20 * MS  # how far from a period two times may come
-LONGEST = 5000.0  # ms; longer times are told of a server that hangs, and lie among the loads
-HANGS = 60_000.0  # ms; the longest time that is looked for at all
-CLOSE = 5 * MS  # how far from a period two such times may come
-GROWTH = 1500.0  # ms by which such a time may differ from the one a period before
-MOST = 1e9  # us of work a second, or ms; past it, or below 0, a line tells nothing
-FAR_UNDER = 10.0  # a load falls to less than this fraction of itself in one step only rarely
+PERIOD_NS = 1000 * MS  # between two delays of one server
+PERIOD_TOLERANCE_NS = 20 * MS  # how far from a period two delays may come
+MAX_SHORT_DELAY_MS = 5000.0  # longer delays come from a server that hangs, and are as large as loads
+MAX_DELAY_MS = 60_000.0  # the longest delay that is recognised at all
+LONG_PERIOD_TOLERANCE_NS = 5 * MS  # how far from a period two delays of a hanging server may come
+MAX_LONG_DELAY_CHANGE_MS = 1500.0  # by which such a delay may differ from the one a period before
+MAX_VALUE = 1e9  # us of work a second, or ms; a line with a larger value, or one below 0, is ignored
+MIN_DROP_FACTOR = 10.0  # a load rarely falls to less than 1/10 of itself in one step
 
-Told = tuple[api.NoteKind, float]
+Reading = tuple[api.NoteKind, float]
 
 
 class _Server(msgspec.Struct):
-    """What is known of one application server's times."""
+    """What is known of the delays of one application server."""
 
-    last_at: int = -PERIOD * 9  # when a value came that may have been a time
-    sure: bool = False  # whether it was one: then the next is due a period later
-    doubt: str | None = None  # the connection whose value waits, and that value
-    value: float = 0.0
+    last_at: int = -PERIOD_NS * 9  # when the last value came that may have been a delay
+    confirmed: bool = False  # whether that value was a delay: then the next is due a period later
+    pending: str | None = None  # the connection whose value is held back
+    value: float = 0.0  # the value held back
+    # When values came that may be delays of a hanging server, and these values.
     recent: deque[tuple[int, float]] = msgspec.field(default_factory=lambda: deque(maxlen=64))
 
 
 class LoadLines:
-    """Tells loads from times, for all connections of this relay."""
+    """Tells loads from delays, for all connections of this relay."""
 
-    def __init__(self, least: float, now: Callable[[], int]) -> None:
-        self.least = least  # ms past which times are told
+    def __init__(self, threshold_ms: float, now: Callable[[], int]) -> None:
+        self.threshold_ms = threshold_ms  # servers report delays above it
         self.now = now
         self.loads: dict[str, float] = {}
         self.servers: dict[str, _Server] = {}
-        self.faults = FaultLog(log, "LOAD lines with a load that can't be", SOUND)
+        self.faults = FaultLog(log, "LOAD lines with an impossible value", GOOD_VALUES_TO_RECOVER)
 
-    def read(self, server: str, connection: str, amount: float) -> Told | None:
-        """Return what a line tells; None where that shows only later, or where it can't be."""
-        if not 0 <= amount <= MOST:
-            # Guards against one line that leaves no sum of loads a number: the connection's last load stays.
-            self.faults.bad({server: f"{amount:g}"})
+    def read(self, server: str, connection: str, amount: float) -> Reading | None:
+        """Return whether a line's value is a load or a delay, and the value.
+
+        Return None if that is not known yet, or if the value is impossible.
+        """
+        if not 0 <= amount <= MAX_VALUE:
+            # One such value (NaN, infinity) would spoil every sum of loads; the connection's last load stays in force.
+            self.faults.record_faults({server: f"{amount:g}"})
             return None
-        self.faults.good((server,))
+        self.faults.record_good((server,))
         before = self.loads.get(connection)
         if before is None:
             return self._load(connection, amount)
         known = self.servers.setdefault(server, _Server())
         now = self.now()
-        due = abs(now - known.last_at - PERIOD) <= JITTER
-        if LONGEST < amount <= HANGS:
-            # Guards against a server that hangs being told as loads: its times are as large as loads are.
-            hangs = any(abs(now - at - PERIOD) <= CLOSE and abs(amount - value) <= GROWTH for at, value in known.recent)
+        due = abs(now - known.last_at - PERIOD_NS) <= PERIOD_TOLERANCE_NS
+        if MAX_SHORT_DELAY_MS < amount <= MAX_DELAY_MS:
+            # A hanging server's delays are as large as loads; without this check they would be taken for loads.
+            hangs = any(
+                abs(now - at - PERIOD_NS) <= LONG_PERIOD_TOLERANCE_NS
+                and abs(amount - value) <= MAX_LONG_DELAY_CHANGE_MS
+                for at, value in known.recent
+            )
             known.recent.append((now, amount))
             if hangs:
                 return api.NoteKind.DELAY, amount
-        if due and amount <= LONGEST:
-            known.last_at, known.sure, known.doubt = now, amount > self.least, None
+        if due and amount <= MAX_SHORT_DELAY_MS:
+            known.last_at, known.confirmed, known.pending = now, amount > self.threshold_ms, None
             return api.NoteKind.DELAY, amount
-        if amount <= LONGEST and not (known.sure and now - known.last_at < PERIOD):
-            known.last_at, known.sure = now, False
-            if amount * FAR_UNDER < before:
-                known.doubt, known.value = connection, amount
+        if amount <= MAX_SHORT_DELAY_MS and not (known.confirmed and now - known.last_at < PERIOD_NS):
+            known.last_at, known.confirmed = now, False
+            if amount * MIN_DROP_FACTOR < before:
+                known.pending, known.value = connection, amount
                 return None
         return self._load(connection, amount)
 
     def settle(self) -> list[tuple[str, float]]:
-        """Return the values that waited for a second one in vain, with their connections: they are loads."""
+        """Return the held-back values that no second one followed in time, with their connections.
+
+        They are loads, and recorded as such.
+        """
         settled = []
         for known in self.servers.values():
-            if known.doubt is not None and self.now() - known.last_at > PERIOD + JITTER:
-                if known.doubt in self.loads:
-                    self.loads[known.doubt] = known.value
-                    settled.append((known.doubt, known.value))
-                known.doubt = None
+            if known.pending is not None and self.now() - known.last_at > PERIOD_NS + PERIOD_TOLERANCE_NS:
+                if known.pending in self.loads:
+                    self.loads[known.pending] = known.value
+                    settled.append((known.pending, known.value))
+                known.pending = None
         return settled
 
     def forget(self, connection: str) -> None:
-        """Drop what is known of a connection that is over."""
+        """Drop the load of a connection that is over."""
         self.loads.pop(connection, None)
 
-    def _load(self, connection: str, amount: float) -> Told:
+    def _load(self, connection: str, amount: float) -> Reading:
         self.loads[connection] = amount
         return api.NoteKind.LOAD, amount
--- a/scaledeal/net/operators.py
+++ b/scaledeal/net/operators.py
@@ -31,15 +31,15 @@
         self.operators.come(self)
         self._set_timer(CALL_TIME, lambda: self._answer(f"fail no call came within {CALL_TIME:.0f} s"))
 
-    def line_came(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         """Take the call."""
         self._answer(self.operators.answer(line))
 
-    def bad_line(self) -> None:
+    def line_too_long(self) -> None:
         """Answer a line that is too long."""
         self._answer("fail line too long")
 
-    def sending_ended(self) -> None:
+    def peer_ended_sending(self) -> None:
         """Answer a caller that ended its sending before its line did."""
         self._answer("fail half a call")
 
--- a/scaledeal/net/roster.py
+++ b/scaledeal/net/roster.py
@@ -121,8 +121,8 @@
         for server in list(self.taken)[: len(self.taken) - max(REMEMBERED, len(named))]:
             del self.taken[server]
         for what, faults in self.faults.items():
-            faults.bad(wrong[what])
-            faults.good(named.keys() - wrong[what].keys())
+            faults.record_faults(wrong[what])
+            faults.record_good(named.keys() - wrong[what].keys())
         dialled = (each for each in named.values() if each.address and each.name not in wrong[ADDRESS])
         return entries, {each.name: each.address for each in dialled}
 
--- a/scaledeal/net/sides.py
+++ b/scaledeal/net/sides.py
@@ -98,10 +98,10 @@
     def hand_over(self) -> Carried | None:
         """Stop reading a connection that stands, and return it; None while anything of it is under way."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Give up what was handed over: another process has it."""
 
-    def keep(self) -> None:
+    def cancel_handover(self) -> None:
         """Read on: no other process has it."""
 
 
--- a/scaledeal/net/transaction.py
+++ b/scaledeal/net/transaction.py
@@ -157,7 +157,7 @@
         if self.state is State.HANDED:
             self.state, self.current = State.OVER, None
             self.host.ended(self, EndCause.HANDED_OVER)
-            self.agent.let_go()
+            self.agent.release()
             self.host.post(api.ClientGone(self.handle))  # its server has not sent it away
             self._outcome(self.attempts - 1, api.Result.CANCELLED, ())
 
@@ -165,7 +165,7 @@
         """Hear that the other process is gone without it."""
         if self.state is State.HANDED:
             self.state = State.STANDING
-            self.agent.keep()
+            self.agent.cancel_handover()
 
     # News of the attempt
 
@@ -203,13 +203,13 @@
 
     def message_took(self, took: int) -> None:
         """Pass on how long a message took, where that is news."""
-        self.host.delays.answer(self.server, took)
+        self.host.delays.record_answer(self.server, took)
         if took > self.aim > 0:
             self.host.late(self, took, False)
         self._delay(took)
 
     def _delay(self, took: int) -> None:
-        if self.host.delays.news(self.server, took):
+        if self.host.delays.should_report(self.server, took):
             self.note(api.NoteKind.DELAY, took / MS)
 
     def look(self, now: int) -> None:
@@ -224,7 +224,7 @@
         if now - since >= SILENT:
             self.host.silent(self)
             self.current.break_off()
-        elif now - since >= UNANSWERED and not self.host.delays.answers_since(self.server, since):
+        elif now - since >= UNANSWERED and not self.host.delays.answered_since(self.server, since):
             self._delay(now - since)
         elif now - since >= STALLED and self.told_silent != since:
             # Guards against one connection that fell silent being told as a server that hangs.
--- a/scaledeal/net/user_agent.py
+++ b/scaledeal/net/user_agent.py
@@ -97,7 +97,7 @@
         self.reception.admission.add(self)
         self._set_timer(FIRST_LINE, self._too_late)
 
-    def line_came(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         """Take a line of the client's."""
         if self.stage is Stage.STANDING and self.current is not None:
             if self.session is None or self.session.from_client(line):
@@ -113,12 +113,12 @@
                 self._leave(False)
                 self._reject("flooded")
 
-    def part_came(self, part: bytes) -> None:
+    def partial_line_received(self, part: bytes) -> None:
         """Tell the admission of a client that is writing its request."""
         if self.stage is Stage.FIRST and wording.may_be_open(part):
             self.reception.admission.record_write(self)
 
-    def bad_line(self) -> None:
+    def line_too_long(self) -> None:
         """Answer a line that is too long."""
         if self.stage is Stage.STANDING:
             self.reset()
@@ -127,7 +127,7 @@
             self._leave(False)
             self._reject("line too long")
 
-    def sending_ended(self) -> None:
+    def peer_ended_sending(self) -> None:
         """Hear that the client ended its sending: as with an attempt, it gives up what it asked for."""
         if self.stage is Stage.FIRST:
             self._reject("never asked")
@@ -211,7 +211,7 @@
 
     def _no_more_pings(self) -> None:
         # Guards against a client that pinged, then took long to write its request, and is closed without a word.
-        if self.partial():
+        if self.has_partial_line():
             self._too_late()
         else:
             self.end()
@@ -278,7 +278,7 @@
         self._over()
         if broke:
             # Guards against an answer that is passed on and never read, as its server dies right behind it.
-            self.break_off()
+            self.flush_and_reset()
         else:
             self.end()
 
@@ -294,26 +294,26 @@
         current, read = self.current, self.open_line
         if self.session is not None:
             return None  # it is moved, and goes on at the new version by its token
-        if read is None or current is None or not (self.quiet() and current.link.quiet()):
+        if read is None or current is None or not (self.is_idle() and current.link.is_idle()):
             return None
-        (mine, of_client), (other, of_server) = self.hold(), current.link.hold()
+        (mine, of_client), (other, of_server) = self.pause_for_handover(), current.link.pause_for_handover()
         line = read.with_wait(int(read.get("d")) * wording.MS)
         state = wording.Paused(line, current.asked_at, of_client, of_server)
         return Carried((mine, other), msgspec.json.encode(state))
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Give up what was handed over: another process has it."""
         self._over()
         if self.current is not None:
             self.current.let_go()
-        super().let_go()
+        super().release()
         self.reception.admission.request_ended()
 
-    def keep(self) -> None:
+    def cancel_handover(self) -> None:
         """Read on: no other process has it."""
-        self.go_on()
+        self.resume_after_handover()
         if self.current is not None:
-            self.current.link.go_on()
+            self.current.link.resume_after_handover()
 
     def _refusal(self, line: bytes) -> None:
         self._answer(line if self.session is None else self.session.refusal(line))
@@ -332,11 +332,11 @@
         self.stage = Stage.STANDING
         for each in [line] if self.session is None else self.session.up(line):
             self.send(each)
-        self.paired_with(link)
-        link.paired_with(self)
+        self.set_sink(link)
+        link.set_sink(self)
         early, self.early = self.early, []
         for each in early:
-            self.line_came(each)
+            self.line_received(each)
         return True
 
     def pass_on(self, line: bytes) -> None:
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -152,8 +152,8 @@
         """Return None: a new version finds flows by their ids."""
         return None
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Never called, as nothing is handed over."""
 
-    def keep(self) -> None:
+    def cancel_handover(self) -> None:
         """Never called, as nothing is handed over."""
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -15,8 +15,8 @@
 from scaledeal import interface as api
 from scaledeal.cli import checking
 from scaledeal.net import config
-from scaledeal.net.fault_log import MOST, NAMED, SOUND
-from scaledeal.net.load_lines import MOST as MOST_LOAD
+from scaledeal.net.fault_log import GOOD_VALUES_TO_RECOVER, MAX_FAULTY_SERVERS, MAX_NAMED_SERVERS
+from scaledeal.net.load_lines import MAX_VALUE
 from scaledeal.net.load_reports import LoadReports
 from scaledeal.net.roster import REMEMBERED, Calendar, Catalog, Endpoint, Roster
 
@@ -125,12 +125,12 @@
 def test_faults_are_logged_once_for_a_row_and_what_is_kept_of_them_is_bounded(caplog):
     caplog.set_level(logging.INFO)
     known = Lists()
-    for first in range(0, 3 * MOST, MOST):
-        known.read(*({"name": f"s{number}", "weight": 0} for number in range(first, first + MOST)))
+    for first in range(0, 3 * MAX_FAULTY_SERVERS, MAX_FAULTY_SERVERS):
+        known.read(*({"name": f"s{number}", "weight": 0} for number in range(first, first + MAX_FAULTY_SERVERS)))
     weights = known.catalog.faults["discovery list: a weight that can't be"]
-    assert len(weights.shown) == MOST and len(known.catalog.taken) == REMEMBERED
+    assert len(weights.faulty) == MAX_FAULTY_SERVERS and len(known.catalog.taken) == REMEMBERED
     lines = [each.getMessage() for each in caplog.records]
-    assert len(lines) == 3 and all(f"and {MOST - NAMED} more" in line for line in lines)
+    assert len(lines) == 3 and all(f"and {MAX_FAULTY_SERVERS - MAX_NAMED_SERVERS} more" in line for line in lines)
 
 
 REPORTS = api.Settings(
@@ -180,23 +180,25 @@
         return bench.module.of(api.Outcome)[-1].report
 
     missing = words in ("", "eps=0,inflight=7")
-    for number in range(SOUND + 2 if missing else 3):
+    for number in range(GOOD_VALUES_TO_RECOVER + 2 if missing else 3):
         assert bool(tell(wire)) is good, "an empty report leaves the last one in force"
-        assert not missing or not caplog.records or number >= SOUND - 1, "a server that has just started has none yet"
+        assert not missing or not caplog.records or number >= GOOD_VALUES_TO_RECOVER - 1, (
+            "a server that has just started has none yet"
+        )
     said = [each.getMessage() for each in caplog.records if each.name == "scaledeal.reports"]
     assert len(said) == (not good and (how == "probe" or not missing)), said
-    assert all(("without a whole load report" if missing else "values that can't be") in each for each in said)
+    assert all(("without a whole load report" if missing else "impossible values") in each for each in said)
     if said:
         caplog.set_level(logging.INFO)
-        for number in range(2 * SOUND):
-            if number == SOUND - 1:
+        for number in range(2 * GOOD_VALUES_TO_RECOVER):
+            if number == GOOD_VALUES_TO_RECOVER - 1:
                 tell(wire)  # a server that tells both by turns is no new fault each time
             assert tell(b"eps=0,inflight=7,x0=0.5") == (0.0, 7.0, 0.5)
         more = [each.getMessage() for each in caplog.records if each.name == "scaledeal.reports"][1:]
         assert len(more) == 1 and more[0].endswith(f": no more, after {3 if missing else 4}"), more
 
 
-@pytest.mark.parametrize("odd", ["nan", "inf", "-inf", "-1", "1e300", "x", "", str(MOST_LOAD * 1.01)])
+@pytest.mark.parametrize("odd", ["nan", "inf", "-inf", "-1", "1e300", "x", "", str(MAX_VALUE * 1.01)])
 @pytest.mark.parametrize("first", [True, False])
 def test_a_load_line_that_cannot_be_leaves_the_connections_last_load(caplog, odd, first):
     # Guards against one line after which no sum of loads is a number any more: it passed for a load.
@@ -209,7 +211,7 @@
     notes = [each.amount for each in bench.module.of(api.Note)]
     assert notes == ([] if first else [812.5])
     assert bench.driver.load_lines.loads.get(name) == (None if first else 812.5)
-    assert caplog.text.count("LOAD lines with a load that can't be, not taken: a (") == 1
+    assert caplog.text.count("LOAD lines with an impossible value, not taken: a (") == 1
     server.receive(b"LOAD 900\r\n")
     assert [each.amount for each in bench.module.of(api.Note)][-1] == 900
 
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -22,7 +22,7 @@
 )
 from scaledeal.net.buffers import MAX_LINE_BYTES, BufferPool
 from scaledeal.net.delays import Delays
-from scaledeal.net.lines import DISCARDED, LINGER, STALL, LineLink
+from scaledeal.net.lines import CLOSE_TIMEOUT_S, MAX_DISCARDED_BYTES, STALL_TIMEOUT_S, LineLink
 from scaledeal.net.load_lines import LoadLines
 from scaledeal.net.roster import Calendar, Catalog, Endpoint, Roster
 from scaledeal.net.user_agent import EARLY
@@ -111,10 +111,10 @@
     # Guards against a note for every message, which the module was never tuned for.
     now = [0]
     delays = Delays((60 * MS, 90 * MS, 0), lambda: now[0])
-    assert [delays.news("s", took * MS) for took in (19, 21, 99)] == [False, True, False]
+    assert [delays.should_report("s", took * MS) for took in (19, 21, 99)] == [False, True, False]
     now[0] = 1000 * MS
-    assert [delays.news("s", 21 * MS), delays.news("t", 21 * MS)] == [True, True]
-    assert [delays.news("s", MS), delays.news("s", MS)] == [True, False]
+    assert [delays.should_report("s", 21 * MS), delays.should_report("t", 21 * MS)] == [True, True]
+    assert [delays.should_report("s", MS), delays.should_report("s", MS)] == [True, False]
 
 
 def load_lines() -> tuple[LoadLines, list[int]]:
@@ -273,11 +273,11 @@
     client, server, _ = stand(bench)
     client.producer.pauseProducing()
     assert server.paused
-    bench.reactor.advance(STALL - 1)
+    bench.reactor.advance(STALL_TIMEOUT_S - 1)
     client.producer.resumeProducing()
     assert not server.paused
     client.producer.pauseProducing()
-    bench.reactor.advance(STALL + 1)
+    bench.reactor.advance(STALL_TIMEOUT_S + 1)
     bench.reactor.advance(0)
     assert client.lost
     server.flush()
@@ -291,7 +291,7 @@
     bench.act(api.Move(name))
     client.flush()
     assert client.fin_sent and not client.lost
-    bench.reactor.advance(LINGER)
+    bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
     assert client.lost and server.lost
 
@@ -309,7 +309,7 @@
     # Whoever has begun a line, or never pinged, hears of its end: its request may be on its way.
     told = [b"PONG"] * says.startswith(b"PING") + [b"ERR"] * (says != b"PING\r\n")
     assert client.lines() == told and client.fin_sent
-    bench.reactor.advance(LINGER)
+    bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
     assert client.lost and bench.pool.in_use == 0 and not bench.module.of(api.Request)
 
@@ -356,8 +356,12 @@
     for _ in range(100):
         if not client.paused:
             client.receive(b"k" * MAX_LINE_BYTES)
-    assert client.lines() == [b"ERR"] and client.paused and client.link._discarded < DISCARDED + 2 * MAX_LINE_BYTES
-    bench.reactor.advance(LINGER)
+    assert (
+        client.lines() == [b"ERR"]
+        and client.paused
+        and client.link._discarded < MAX_DISCARDED_BYTES + 2 * MAX_LINE_BYTES
+    )
+    bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
     assert client.lost
 
@@ -496,7 +500,7 @@
     def fail(line: bytes) -> None:
         raise RuntimeError
 
-    link.line_came = fail  # type: ignore[method-assign]
+    link.line_received = fail  # type: ignore[method-assign]
     with pytest.raises(RuntimeError):
         link.dataReceived(b"x\r\n")
 
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -10,7 +10,7 @@
 from twisted.internet import error
 
 from scaledeal import interface as api
-from scaledeal.net.lines import LINGER
+from scaledeal.net.lines import CLOSE_TIMEOUT_S
 from scaledeal.net.operators import CALL_TIME, CALLERS, Operators
 from scaledeal.net.service import DRAINED, NOTICED, Stage
 
@@ -157,7 +157,7 @@
     first = caller.lines()[0]
     assert first.split(b" ")[0] == told.split(b" ")[0] and caller.fin_due
     assert len(caller.lines()) == (3 if sent == b"INFO\n" else 1)
-    calls.bench.reactor.advance(LINGER + 0.1)
+    calls.bench.reactor.advance(CLOSE_TIMEOUT_S + 0.1)
     calls.bench.reactor.advance(0)
     assert caller.lost and not calls.operators.callers and calls.bench.pool.in_use == 0
 
