--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -377,7 +377,7 @@
         fleet.witness.owns(name, "descriptors", max(0, left), fleet.kernel.now)
         fleet.witness.owns(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
         fleet.witness.owns(name, "flights", len(relay.driver.balancer.flights), fleet.kernel.now)
-        fleet.witness.owns(name, "buffers", relay.door.reception.context.pool.in_use, fleet.kernel.now)
+        fleet.witness.owns(name, "buffers", relay.door.client_context.attempt_context.pool.in_use, fleet.kernel.now)
 
 
 @contextlib.contextmanager
--- a/scaledeal/net/attempt.py
+++ b/scaledeal/net/attempt.py
@@ -180,7 +180,7 @@
     def _written(self) -> None:
         if self.stage is Stage.SENDING:
             self.stage = Stage.WAITING
-            self.events.written()
+            self.events.request_written()
 
     def _answer(self, line: bytes) -> None:
         """Take a line that comes before the connection stands."""
@@ -212,7 +212,7 @@
         if self.asked_at:
             took = self.context.now() - self.asked_at
             self.asked_at = 0
-            self.events.message_took(took)
+            self.events.message_answered(took)
         self.last_word = _ENDINGS.get(word, api.Result.CANCELLED if self.parting else api.Result.RESET)
         if word in (wording.BYE, wording.MOVE):
             self.report = self.context.read_report(line)
@@ -220,8 +220,8 @@
             self.link.close()
 
     def _load(self, line: bytes) -> None:
-        amount = wording.figure(line.partition(b" ")[2].decode("ascii", "replace"))
-        self.events.load_line(amount)
+        amount = wording.number_or_nan(line.partition(b" ")[2].decode("ascii", "replace"))
+        self.events.load_received(amount)
 
     def _timed_out(self) -> None:
         self.timer = None
@@ -242,7 +242,7 @@
     def _over(self, result: api.Result, broke: bool) -> None:
         self.stage, self.result = Stage.ENDING, result
         self._stop_timer()
-        self.events.over(result, self.report, broke)
+        self.events.attempt_ended(result, self.report, broke)
 
     def _stop_timer(self) -> None:
         if self.timer is not None and self.timer.active():
--- a/scaledeal/net/carry.py
+++ b/scaledeal/net/carry.py
@@ -20,7 +20,7 @@
 from scaledeal.net.handover import Handed, Offer
 from scaledeal.net.ports import Reactor, Timer
 from scaledeal.net.transaction import Transaction
-from scaledeal.net.user_agent import Reception, UserAgent, asked
+from scaledeal.net.user_agent import ClientContext, UserAgent, client_request
 
 log = logging.getLogger("scaledeal.carry")
 
@@ -54,13 +54,13 @@
     def taken(self, handle: str) -> None:
         """Hear that the new process has one."""
         if transaction := self.out.pop(handle, None):
-            transaction.let_go()
+            transaction.handover_completed()
 
     def lost(self) -> None:
         """Hear that the new process is gone: what it has not taken goes on here."""
         self.stop()
         for transaction in self.out.values():
-            transaction.keep()
+            transaction.handover_failed()
         self.out.clear()
 
     def stop(self) -> None:
@@ -85,28 +85,28 @@
     reactor.adoptStreamConnection(descriptor, family, _Given(protocol))
 
 
-def resume(reception: Reception, driver: Driver, told: Handed, descriptors: tuple[int, int]) -> bool:
+def resume(client_context: ClientContext, driver: Driver, told: Handed, descriptors: tuple[int, int]) -> bool:
     """Go on with a connection that was handed over; False where that can't be done."""
     try:
-        paused = msgspec.json.decode(told.state, type=wording.Paused)
+        paused = msgspec.json.decode(told.state, type=wording.HandoverState)
         read = wording.read_open(paused.line)
-        number = reception.classes.get(read.get("c")) if read else None
-        tenant = reception.tenant(read) if read else None
+        number = client_context.classes.get(read.get("c")) if read else None
+        tenant = client_context.tenant_number(read) if read else None
         if read is None or number is None or tenant is None:
             raise ValueError(f"no request of this relay: {paused.line!r}")
-        agent = UserAgent(reception)
-        _adopt(reception.context.reactor, descriptors[0], agent)
+        agent = UserAgent(client_context)
+        _adopt(client_context.attempt_context.reactor, descriptors[0], agent)
     except (msgspec.MsgspecError, ValueError, OSError) as error:
         log.warning("a connection that was handed over is not taken: %s", error)
         return False
-    transaction = driver.resume(asked(read, number, tenant, driver.now()), agent, told.server, told.load)
-    current = LineAttempt(reception.context, paused.line, agent, transaction)
+    transaction = driver.resume(client_request(read, number, tenant, driver.now()), agent, told.server, told.load)
+    current = LineAttempt(client_context.attempt_context, paused.line, agent, transaction)
     transaction.current = current
     agent.resumed(read, transaction, current)
     current.resumed(paused.asked_at)
-    _adopt(reception.context.reactor, descriptors[1], current.link)
+    _adopt(client_context.attempt_context.reactor, descriptors[1], current.link)
     agent.set_sink(current.link)
     current.link.set_sink(agent)
-    agent.dataReceived(paused.of_client)
-    current.link.dataReceived(paused.of_server)
+    agent.dataReceived(paused.from_client)
+    current.link.dataReceived(paused.from_server)
     return True
--- a/scaledeal/net/client_listener.py
+++ b/scaledeal/net/client_listener.py
@@ -16,7 +16,7 @@
 from scaledeal.net.patient_sockets import PatientServer
 from scaledeal.net.ports import Reactor, Timer
 from scaledeal.net.socket_errors import AcceptErrors, Remedy
-from scaledeal.net.user_agent import Reception, UserAgent
+from scaledeal.net.user_agent import ClientContext, UserAgent
 
 log = logging.getLogger("scaledeal.client_listener")
 
@@ -32,12 +32,12 @@
 
     noisy = False
 
-    def __init__(self, reception: Reception) -> None:
-        self.reception = reception
+    def __init__(self, client_context: ClientContext) -> None:
+        self.client_context = client_context
 
     def buildProtocol(self, addr: IAddress | None) -> UserAgent | None:  # noqa: N802, D102
         # Without a protocol the transport closes the socket at once, which is the cheapest rejection.
-        return UserAgent(self.reception) if self.reception.admission.admit_client() else None
+        return UserAgent(self.client_context) if self.client_context.admission.admit_client() else None
 
 
 class ClientListener(tcp.Port):
@@ -137,7 +137,7 @@
         self._pauses += 1
         if self._pauses % PAUSES_PER_EVICTION == 0:
             # In a lasting shortage idle clients hold the descriptors that connections in the queue need.
-            cast(ClientFactory, self.factory).reception.admission.evict_oldest()
+            cast(ClientFactory, self.factory).client_context.admission.evict_oldest()
         if self._pause is None:
             self._pause = cast(Reactor, self.reactor).callLater(ACCEPT_PAUSE_S, self._resume_reading)
 
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -22,7 +22,7 @@
 from scaledeal.net.load_reports import LoadReports
 from scaledeal.net.ports import Reactor, Timer
 from scaledeal.net.request_guard import RequestGuard
-from scaledeal.net.sides import Agent, Ask, Prober
+from scaledeal.net.sides import Agent, ClientRequest, Prober
 from scaledeal.net.trace import Trace
 from scaledeal.net.transaction import State, Transaction
 from scaledeal.policy import Balancer
@@ -124,7 +124,7 @@
 
     # Transactions
 
-    def take(self, ask: Ask, agent: Agent) -> Transaction:
+    def take(self, ask: ClientRequest, agent: Agent) -> Transaction:
         """Take a user agent's request."""
         self._numbered += 1
         transaction = Transaction(self, f"t{self._numbered}", ask, agent)
@@ -152,7 +152,7 @@
             )
         return transaction
 
-    def resume(self, ask: Ask, agent: Agent, server: str, load: float) -> Transaction:
+    def resume(self, ask: ClientRequest, agent: Agent, server: str, load: float) -> Transaction:
         """Take a connection that another process has brought up, and tell the module of it."""
         self._numbered += 1
         transaction = Transaction(self, f"t{self._numbered}", ask, agent)
@@ -173,7 +173,7 @@
 
     def standing(self) -> list[Transaction]:
         """Return the transactions whose connections stand."""
-        return [each for each in self.transactions.values() if each.state is State.STANDING]
+        return [each for each in self.transactions.values() if each.state is State.ESTABLISHED]
 
     def levels(self) -> dict[str, int]:
         """Return the figures that are no counts."""
@@ -190,7 +190,9 @@
         """Count why a request is over, and note it where decisions are written down."""
         self.figures.ended[cause] += 1
         if self.trace is not None:
-            self.trace.over(self.now(), transaction.handle, transaction.ask.name, transaction.server, cause.value)
+            self.trace.over(
+                self.now(), transaction.handle, transaction.request.request_id, transaction.server, cause.value
+            )
 
     def process_ends(self) -> None:
         """Hear that the process is about to end: what still waits for its answer is a violation."""
@@ -200,7 +202,9 @@
 
     def overdue(self, transaction: Transaction) -> None:
         """Note that the decision module left a request unanswered."""
-        log.warning("request of class %d answered at its deadline: the module held it", transaction.ask.request_class)
+        log.warning(
+            "request of class %d answered at its deadline: the module held it", transaction.request.request_class
+        )
 
     def late(self, transaction: Transaction, took: int, waits: bool) -> None:
         """Note a message that its application server answers later than its class wants."""
@@ -218,11 +222,11 @@
             self.transactions[handle].note(api.NoteKind.LOAD, load)
         now = self.now()
         for transaction in self.standing():
-            transaction.look(now)
+            transaction.check_silence(now)
 
     def _resume(self, transaction: Transaction) -> None:
         """Connect to where a connection stood before the start; no decision is due for that."""
-        server = transaction.ask.standing_at
+        server = transaction.request.standing_at
         if address := self.addresses.get(server):
             transaction.send(server, address, 0)
         else:
--- a/scaledeal/net/inherited.py
+++ b/scaledeal/net/inherited.py
@@ -30,11 +30,11 @@
     return {
         each.handle: Standing(
             each.handle,
-            each.ask.request_class,
+            each.request.request_class,
             each.server,
-            each.ask.key,
-            each.ask.group,
-            each.ask.tenant,
+            each.request.key,
+            each.request.group,
+            each.request.tenant,
             loads.get(each.handle, 0.0),
         )
         for each in driver.standing()
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -33,7 +33,7 @@
 from scaledeal.net.succession import Succession
 from scaledeal.net.system import System
 from scaledeal.net.trace import open_trace
-from scaledeal.net.user_agent import Reception
+from scaledeal.net.user_agent import ClientContext
 from scaledeal.net.watch_times import GOLDEN, WatchTimes
 from scaledeal.net.wording import report_reader
 
@@ -88,7 +88,7 @@
         )
         admission.probe_connections, admission.limit_probes = probes.held, probes.give_back
         self.door = ClientFactory(
-            Reception(
+            ClientContext(
                 context,
                 classes,
                 tenants,
@@ -111,7 +111,9 @@
         )
         self.admin: Port | None = None
         place = Place(config.folder, config.listen) if config.folder else None
-        self.succession = Succession(reactor, place, self.driver, self.door.reception, self._open, self._take_clients)
+        self.succession = Succession(
+            reactor, place, self.driver, self.door.client_context, self._open, self._take_clients
+        )
         self.sides: list[Side] = []  # doors for other protocols than lines
         self.adopted = False  # the listening socket was handed over, and another process still serves
         self.opened = False  # the list of the start has been told
@@ -305,7 +307,7 @@
             self.reactor.callLater(end + LAST_CALL, self._last_call)
 
     def _leave_when_done(self) -> None:
-        admission = self.door.reception.admission
+        admission = self.door.client_context.admission
         # Guards against a client that is cut off while it writes. Where a new version serves, nobody comes
         # any more, and all who are in get their time.
         asking = admission.idle_count() if self.succession.replaced else len(admission.writers)
@@ -316,7 +318,7 @@
 
     def _last_call(self) -> None:
         for transaction in list(self.driver.transactions.values()):
-            transaction.send_away()
+            transaction.move_unrequested()
             transaction.fail()
         self._leave_soon()
 
@@ -329,7 +331,7 @@
             self.succession.close()
             self._stop_listening()
         # Guards against a request that comes to a resting client's connection as this process shuts it.
-        self.reactor.callLater(LAST_MOMENT / 2, self.door.reception.admission.close)
+        self.reactor.callLater(LAST_MOMENT / 2, self.door.client_context.admission.close)
         self.reactor.callLater(LAST_MOMENT, self._leave)
 
     def _stop_listening(self) -> None:
--- a/scaledeal/net/service.py
+++ b/scaledeal/net/service.py
@@ -88,7 +88,7 @@
         # Guards against a herd: all of them coming to the other relays in one moment.
         self._due += len(standing) * min(1.0, STEP / left) if left > 0 else len(standing)
         for transaction in standing[: int(self._due)]:
-            transaction.send_away()
+            transaction.move_unrequested()
         self._due -= int(self._due)
 
     def _stop(self) -> None:
--- a/scaledeal/net/sides.py
+++ b/scaledeal/net/sides.py
@@ -1,4 +1,4 @@
-"""How the driver sees the two sides of a transaction, whatever protocol they speak."""
+"""Interfaces between the driver and the two sides of a transaction, independent of their protocol."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from scaledeal import interface as api
 
 
-class Ask(msgspec.Struct, frozen=True):
-    """What a user agent asks for; ``deadline`` is a moment on the driver's clock."""
+class ClientRequest(msgspec.Struct, frozen=True):
+    """A request of a user agent; ``deadline`` is a time in ns on the driver's clock."""
 
     request_class: int
     deadline: int
@@ -20,145 +20,146 @@
     tenant: int = 0
     returning: bool = False
     load_hint: float = 0.0  # microseconds of work a second
-    standing_at: str = ""  # the application server at which the connection stood before the start
-    name: str = ""  # the client's id of it, for a trace alone
+    standing_at: str = ""  # the application server of a connection that was established before the start
+    request_id: str = ""  # the id that the client gave it, for traces and invariant reports
 
 
-class Carried(msgspec.Struct, frozen=True):
-    """A connection that stands, as another process goes on with it."""
+class PausedConnection(msgspec.Struct, frozen=True):
+    """An established connection that another process can take over."""
 
     descriptors: tuple[int, ...]
-    state: bytes  # what its protocol needs besides, for that protocol alone to read
+    state: bytes  # further data that the connection's protocol needs, in its own encoding
 
 
 class AttemptEvents(Protocol):
-    """Who hears of an attempt."""
+    """The owner of an attempt, which receives its events."""
 
-    server: str  # the name of the application server that the attempt goes to
+    server: str  # the name of the application server that is attempted
 
     def may_write(self) -> bool:
-        """Tell whether the first line may be written now that the connection is up."""
+        """Return whether the first line may be written, now that the connection is up."""
 
-    def written(self) -> None:
-        """Hear that the first line's last byte is written: from here on it may have run."""
+    def request_written(self) -> None:
+        """Record that the last byte of the first line is written: from here on the request may have run."""
 
     def established(self) -> None:
-        """Hear that the connection stands."""
+        """Record that the connection is established."""
 
-    def load_line(self, amount: float) -> None:
-        """Hear of the connection's load, or of its server's messages."""
+    def load_received(self, amount: float) -> None:
+        """Handle the value of a LOAD line: the connection's load or its server's message delay."""
 
-    def message_took(self, took: int) -> None:
-        """Hear how many nanoseconds passed between a message and its answer."""
+    def message_answered(self, duration: int) -> None:
+        """Record how many nanoseconds passed between a message and its answer."""
 
-    def over(self, result: api.Result, report: tuple[float, ...], broke: bool) -> None:
-        """Hear, once, how the attempt ended; its connection is closed by then, unless it stood."""
+    def attempt_ended(self, result: api.Result, report: tuple[float, ...], broke: bool) -> None:
+        """Handle the end of the attempt; called once, after its connection is closed unless that was established."""
 
 
 class Attempt(Protocol):
     """One attempt at an application server."""
 
     def give_up(self) -> None:
-        """Stop waiting before the connection stands."""
+        """Cancel the attempt, if its connection is not established yet."""
 
     def withdraw(self, result: api.Result = api.Result.CONNECT_FAILED) -> None:
-        """Give up what has not been sent yet: the application server wants nothing new, or nobody waits for it."""
+        """Cancel what is not sent yet: the application server takes nothing new, or the client has left."""
 
     def leave(self, broke: bool) -> None:
-        """End a connection that stands: the user agent's side is over."""
+        """Close an established connection: the user agent's side has ended, in order unless ``broke``."""
 
     def client_ended_sending(self) -> None:
-        """End the sending of a connection that stands, as the client did."""
+        """End the sending on an established connection, as the client did."""
 
     def silent_since(self) -> int:
-        """Return since when a message has waited for its answer, or 0."""
+        """Return since when a message has waited for its answer, in ns on the driver's clock; 0 if none waits."""
 
     def break_off(self) -> None:
-        """Take a connection that returns nothing as broken."""
+        """Close a connection that returns nothing, and treat it as broken."""
 
 
 class Agent(Protocol):
-    """A user agent that asked for something."""
+    """A user agent that has sent a request."""
 
     def begin_attempt(self, address: str, wait: int, events: AttemptEvents) -> Attempt:
-        """Start one attempt that may wait so many nanoseconds for its answer."""
+        """Start one attempt that may wait ``wait`` nanoseconds for its answer."""
 
     def refuse(self, retry_after: int) -> None:
-        """Answer that trying again is harmless, and close."""
+        """Refuse the request as safe to repeat, after ``retry_after`` nanoseconds if above 0, and close."""
 
     def fail(self) -> None:
-        """Answer that it failed, and close."""
+        """Answer that the request failed, and close."""
 
     def move(self) -> None:
-        """Tell the client to come again, and close."""
+        """Tell the client to reconnect, and close."""
 
     def ended(self, broke: bool) -> None:
-        """Close as the application server's side did."""
+        """Close as the application server's side did: in order unless ``broke``."""
 
-    def hand_over(self) -> Carried | None:
-        """Stop reading a connection that stands, and return it; None while anything of it is under way."""
+    def hand_over(self) -> PausedConnection | None:
+        """Pause an established connection and return it; return None while it has data in transit."""
 
     def release(self) -> None:
-        """Give up what was handed over: another process has it."""
+        """Close this process's descriptors of the handed-over connection, without ending it."""
 
     def cancel_handover(self) -> None:
-        """Read on: no other process has it."""
+        """Resume the connection: no other process has taken it."""
 
 
 class Prober(Protocol):
-    """Who probes application servers."""
+    """Sends health probes to application servers."""
 
     def probe(self, server: str, address: str) -> None:
-        """Probe once; exactly one result is reported."""
+        """Send one probe; exactly one result is reported."""
 
 
-class Resumption(Protocol):
-    """What a resumable session makes of a connection's lines; none of it exists where no client may offer that."""
+class ResumableSession(Protocol):
+    """Translates a connection's lines for a resumable session; there is none unless resumption is configured."""
 
-    cut: Callable[[], None]  # breaks the connection; the client's side sets it
+    cut: Callable[[], None]  # breaks the connection; set by the client's side
 
     def asked(self) -> dict[str, str]:
-        """Return the named values that the application server gets in place of the client's."""
+        """Return the OPEN parameters that the application server gets in place of the client's."""
 
     def up(self, line: bytes) -> list[bytes]:
-        """Take the application server's UP; return what its client gets."""
+        """Handle the application server's UP; return the lines that the client gets."""
 
     def refusal(self, line: bytes) -> bytes:
-        """Return a refusal or failure as its client gets it."""
+        """Return the form of a refusal or failure that the client gets."""
 
     def from_client(self, line: bytes) -> bool:
-        """Take a line that is to be passed on; False where the connection is to be cut."""
+        """Check a client's line before it is passed on; return False if the connection must be broken."""
 
     def to_client(self, line: bytes) -> list[bytes] | None:
-        """Take an application server's line; return what its client gets, None where the connection is to be cut."""
+        """Return the lines that the client gets for an application server's line; None to break the connection."""
 
     def move(self) -> bytes:
-        """Return the MOVE that its client gets."""
+        """Return the MOVE line that the client gets."""
 
     def leave(self) -> None:
-        """Be done with this connection."""
+        """Detach the session from this connection, which is over."""
 
 
-Resume = Callable[[dict[str, str]], "Resumption | bytes | None"]  # of an OPEN's names; bytes are words that refuse it
+# Takes the parameters of an OPEN; returns its session, the line that refuses it, or None without a session.
+SessionOpener = Callable[[dict[str, str]], "ResumableSession | bytes | None"]
 
 
 class Side(Protocol):
-    """Another protocol's door, beside the lines': the relay tells it what happens, in this order."""
+    """A further protocol for clients beside the line protocol; the relay calls its methods in this order."""
 
     def start(self) -> None:
-        """Take hold of its sockets; raise ConfigError where that can't be done."""
+        """Open the sockets; raise ConfigError if that is impossible."""
 
     def listed(self, event: api.Membership) -> None:
-        """Hear news of the list; the driver has taken it."""
+        """Handle a change of the server list, after the driver has."""
 
     def serve(self) -> None:
-        """Take user agents from now on."""
+        """Start to accept user agents."""
 
     def reload(self) -> None:
-        """Read its settings again; what can't be obeyed changes nothing."""
+        """Read the settings again; invalid settings change nothing."""
 
     def lines(self) -> list[str]:
-        """Return its figures as operators read them."""
+        """Return the metrics lines for operators."""
 
     def close(self) -> None:
-        """Give everything back: the process is to go."""
+        """Release all resources, before the process exits."""
--- a/scaledeal/net/succession.py
+++ b/scaledeal/net/succession.py
@@ -11,7 +11,7 @@
 from scaledeal.net.handover import Claim, Handed, Offer, Place
 from scaledeal.net.inherited import Inherited, Standing, standing
 from scaledeal.net.ports import Port, Reactor
-from scaledeal.net.user_agent import Reception
+from scaledeal.net.user_agent import ClientContext
 
 log = logging.getLogger("scaledeal.succession")
 
@@ -24,13 +24,13 @@
         reactor: Reactor,
         place: Place | None,
         driver: Driver,
-        reception: Reception,
+        client_context: ClientContext,
         come: Callable[[int | None], None],
         alone: Callable[[], None],
     ) -> None:
         self.driver = driver
-        self.reception = reception
-        self.admission = reception.admission
+        self.client_context = client_context
+        self.admission = client_context.admission
         self.come = come  # takes the listening descriptor, and owns it; None where nobody hands one over
         self.alone = alone  # hears that the process that handed it over is gone
         self.inherited = Inherited(driver)
@@ -124,4 +124,4 @@
     def take(self, told: Handed, descriptors: tuple[int, int]) -> bool:
         """Go on with a connection that stood at the old process."""
         self.inherited.left(told.handle)
-        return resume(self.reception, self.driver, told, descriptors)
+        return resume(self.client_context, self.driver, told, descriptors)
--- a/scaledeal/net/trace.py
+++ b/scaledeal/net/trace.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from scaledeal import interface as api
-from scaledeal.net.sides import Ask
+from scaledeal.net.sides import ClientRequest
 from scaledeal.policy import Balancer, Server
 
 log = logging.getLogger("scaledeal.trace")
@@ -88,13 +88,13 @@
             siblings=settings.siblings,
         )
 
-    def takes(self, now: int, request: str, ask: Ask) -> None:
+    def takes(self, now: int, request: str, ask: ClientRequest) -> None:
         """Note a request, or a connection that stood before the start."""
         self.put(
             now,
             "ask",
             request=request,
-            id=ask.name,
+            id=ask.request_id,
             key=ask.key,
             group=ask.group,
             cls=ask.request_class,
--- a/scaledeal/net/transaction.py
+++ b/scaledeal/net/transaction.py
@@ -1,6 +1,6 @@
-"""One request of a user agent, from its arrival until nothing of it is left.
+"""One request of a user agent, from its arrival until its last attempt is closed.
 
-It owns the current attempt and the timer of the final answer, and gives exactly one final answer.
+A transaction owns the current attempt and the timer of the final answer, and gives exactly one final answer.
 """
 
 from __future__ import annotations
@@ -15,26 +15,27 @@
 from scaledeal.net.load_lines import LoadLines
 from scaledeal.net.ports import Timer
 from scaledeal.net.request_guard import RequestGuard
-from scaledeal.net.sides import Agent, Ask, Attempt, Carried
+from scaledeal.net.sides import Agent, Attempt, ClientRequest, PausedConnection
 
 MS = 1_000_000
-UNANSWERED = 250 * MS  # a message without an answer for so long is news before its answer comes
-STALLED = 1000 * MS  # a connection without an answer for so long, at a server that answers others, is silent
-SILENT = 6000 * MS  # a connection that returns nothing for so long is taken as broken; 7 s are allowed
-SLACK = 10_000_000  # ns after the deadline at which a request that nobody answered is answered here
+UNANSWERED_REPORT_NS = 250 * MS  # after it, the delay of a message is reported before its answer arrives
+# After it, a connection without an answer is reported as silent, if its server answers others.
+SILENT_REPORT_NS = 1000 * MS
+SILENT_TIMEOUT_NS = 6000 * MS  # after it, a connection that returns nothing is closed as broken; 7 s are allowed
+DEADLINE_SLACK_NS = 10_000_000  # after the deadline, a request that the module left unanswered is answered as failed
 
 
 class State(Enum):
-    """Where a transaction stands."""
+    """The state of a transaction."""
 
     WAITING = 1  # an answer is owed
-    STANDING = 2  # served: lines pass both ways
-    HANDED = 3  # offered to another process of this relay: nothing is read until that has it, or is gone
-    OVER = 4  # answered, moved or left; an attempt may still be closing
+    ESTABLISHED = 2  # served: lines pass both ways
+    OFFERED = 3  # to another process of this relay: nothing is read until that process has taken it or has ended
+    OVER = 4  # answered, moved, or the client left; an attempt may still be closing
 
 
 class TransactionHost(Protocol):
-    """What a transaction needs of the driver."""
+    """The part of the driver that transactions use."""
 
     draining: bool
     figures: Figures
@@ -43,57 +44,61 @@
     load_lines: LoadLines
 
     def now(self) -> int:
-        """Return the time."""
+        """Return the time in nanoseconds."""
 
     def later(self, delay: int, call: Callable[[], None]) -> Timer:
-        """Call after so many nanoseconds."""
+        """Call ``call`` after ``delay`` nanoseconds."""
 
     def post(self, event: api.Event) -> None:
-        """Tell the decision module."""
+        """Post an event to the decision module."""
 
     def forget(self, transaction: Transaction) -> None:
-        """Take it off the table."""
+        """Remove a transaction from the table."""
 
     def ended(self, transaction: Transaction, cause: EndCause) -> None:
-        """Hear why it is over: once for each request."""
+        """Record why a transaction is over; called once for each."""
 
     def overdue(self, transaction: Transaction) -> None:
-        """Hear that the decision module left it unanswered."""
+        """Record that the decision module left a request unanswered."""
 
     def late(self, transaction: Transaction, took: int, waits: bool) -> None:
-        """Hear that a message took so many nanoseconds, longer than its class wants, or waits that long already."""
+        """Record a message delay of ``took`` nanoseconds, above its class's aim; ``waits``: still unanswered."""
 
     def silent(self, transaction: Transaction) -> None:
-        """Hear that its application server has returned nothing for too long."""
+        """Record that an application server has returned nothing on a connection for too long."""
 
 
 class Transaction:
-    """The states of one request; the decision module's actions and both sides' news change them."""
+    """The state machine of one request, driven by the decision module's actions and the events of both sides."""
 
-    def __init__(self, host: TransactionHost, handle: str, ask: Ask, agent: Agent) -> None:
+    def __init__(self, host: TransactionHost, handle: str, request: ClientRequest, agent: Agent) -> None:
         self.host = host
         self.handle = handle
-        self.ask = ask
+        self.request = request
         self.agent = agent
         self.state = State.WAITING
-        self.owed = host.guard.open(ask.name or handle, ask.request_class, ask.deadline, bool(ask.standing_at))
+        self.owed = host.guard.open(
+            request.request_id or handle, request.request_class, request.deadline, bool(request.standing_at)
+        )
         self.attempts = 0
         self.current: Attempt | None = None
         self.server = ""
-        self.began = 0
-        self.counts = host.figures.counts[ask.request_class]
-        self.aim = host.delays.aims[ask.request_class]
-        self.told_late = 0  # since when the message waits that was noted as late
-        self.told_silent = 0  # since when the message waits whose silence the module was told of
-        self.timer: Timer | None = host.later(max(0, ask.deadline - host.now()) + SLACK, self._answer_owed)
+        self.attempt_started_at = 0
+        self.counts = host.figures.counts[request.request_class]
+        self.aim = host.delays.aims[request.request_class]
+        self.late_reported = 0  # since when the message waits that was recorded as late
+        self.silence_reported = 0  # since when the message waits whose silence was reported to the module
+        self.timer: Timer | None = host.later(
+            max(0, request.deadline - host.now()) + DEADLINE_SLACK_NS, self._answer_overdue
+        )
 
-    # The decision module's actions
+    # Actions of the decision module
 
     def send(self, server: str, address: str, timeout: int) -> None:
-        """Begin an attempt, unless the request is over or its time is up."""
+        """Begin an attempt of ``timeout`` nanoseconds (0: until the deadline), unless the guard forbids it."""
         number, self.attempts = self.attempts, self.attempts + 1
-        self.server, self.began = server, self.host.now()
-        left = self.ask.deadline - self.began
+        self.server, self.attempt_started_at = server, self.host.now()
+        left = self.request.deadline - self.attempt_started_at
         not_sent = self.host.guard.judge_send(self.owed, server)
         if not_sent is not None:
             self._outcome(number, not_sent, ())
@@ -104,159 +109,165 @@
             self.current = self.agent.begin_attempt(address, min(timeout or left, left), self)
 
     def refuse(self, retry_after: int) -> None:
-        """Answer: refused."""
+        """Refuse the request; it fails instead if it may have run, as repeating it would not be safe."""
         if self.state is State.WAITING and not self.host.guard.may_refuse(self.owed):
             self.fail()
-        elif self._answered(EndCause.REFUSED):
+        elif self._begin_answer(EndCause.REFUSED):
             self.counts.throttled += 1
             self.agent.refuse(retry_after)
 
     def fail(self) -> None:
-        """Answer: failed."""
-        if self._answered(EndCause.FAILED):
+        """Answer that the request failed."""
+        if self._begin_answer(EndCause.FAILED):
             self.counts.faulted += 1
             self.agent.fail()
 
     def cancel(self, number: int) -> None:
-        """Give up the attempt of this number, if it is still out and does not stand."""
-        if self.current is not None and number == self.attempts - 1 and self.state is not State.STANDING:
+        """Cancel the attempt of this number, if it is the current one and its connection is not established."""
+        if self.current is not None and number == self.attempts - 1 and self.state is not State.ESTABLISHED:
             self.current.give_up()
 
     def move(self, cause: EndCause = EndCause.MOVED) -> None:
-        """End a connection that stands politely."""
-        if self.state is State.STANDING and self.current is not None:
+        """End an established connection in order: the client is told to reconnect."""
+        if self.state is State.ESTABLISHED and self.current is not None:
             self.state = State.OVER
             self.host.ended(self, cause)
             self.agent.move()
             self.current.leave(False)
 
-    def send_away(self) -> None:
-        """End a connection that stands politely though the decision module did not ask for it."""
-        if self.state is State.STANDING:
-            # Guards against servers taken for draining: they did not send away whom this relay moved.
+    def move_unrequested(self) -> None:
+        """Move the client of an established connection without an action of the decision module."""
+        if self.state is State.ESTABLISHED:
+            # The module would otherwise attribute the MOVE to the server, and take that for draining.
             self.host.post(api.ClientGone(self.handle))
             self.move(EndCause.SENT_AWAY)
 
-    # Another process of this relay
+    # Hand-over to another process of this relay
 
     def resumed(self, server: str) -> None:
-        """Stand from the beginning: another process has brought it up."""
-        self.state, self.server, self.attempts = State.STANDING, server, 1
+        """Start as established: another process has set up the connection."""
+        self.state, self.server, self.attempts = State.ESTABLISHED, server, 1
         self.host.guard.answered(self.owed)
         self._stop_timer()
 
-    def hand_over(self) -> Carried | None:
-        """Offer a connection that stands to another process; None while that can't be done."""
-        carried = self.agent.hand_over() if self.state is State.STANDING else None
-        if carried is not None:
-            self.state = State.HANDED
-        return carried
+    def hand_over(self) -> PausedConnection | None:
+        """Pause an established connection for another process and return it; return None while that is impossible."""
+        paused = self.agent.hand_over() if self.state is State.ESTABLISHED else None
+        if paused is not None:
+            self.state = State.OFFERED
+        return paused
 
-    def let_go(self) -> None:
-        """Hear that another process has it."""
-        if self.state is State.HANDED:
+    def handover_completed(self) -> None:
+        """Release the connection: another process has taken it."""
+        if self.state is State.OFFERED:
             self.state, self.current = State.OVER, None
             self.host.ended(self, EndCause.HANDED_OVER)
             self.agent.release()
-            self.host.post(api.ClientGone(self.handle))  # its server has not sent it away
+            self.host.post(api.ClientGone(self.handle))  # so the module does not attribute the end to the server
             self._outcome(self.attempts - 1, api.Result.CANCELLED, ())
 
-    def keep(self) -> None:
-        """Hear that the other process is gone without it."""
-        if self.state is State.HANDED:
-            self.state = State.STANDING
+    def handover_failed(self) -> None:
+        """Resume the connection: the other process has ended without taking it."""
+        if self.state is State.OFFERED:
+            self.state = State.ESTABLISHED
             self.agent.cancel_handover()
 
-    # News of the attempt
+    # Events of the attempt
 
     def may_write(self) -> bool:
-        """Tell whether the attempt's first line may be written now."""
+        """Return whether the attempt's first line may be written now."""
         return self.host.guard.may_write(self.owed)
 
-    def written(self) -> None:
-        """Hear that the attempt's first line is written whole."""
+    def request_written(self) -> None:
+        """Count an attempt whose first line is completely written."""
         self.counts.relayed += 1
 
     def established(self) -> None:
-        """Hear that the connection stands."""
+        """Record that the connection is established, and tell the decision module."""
         self.counts.fulfilled += 1
-        self.state = State.STANDING
+        self.state = State.ESTABLISHED
         self.host.guard.answered(self.owed)
         self._stop_timer()
-        ask = self.ask
-        if ask.standing_at:
+        request = self.request
+        if request.standing_at:
             self.host.post(
                 api.OpenConnection(
-                    self.handle, ask.request_class, self.server, ask.key, ask.group, ask.tenant, ask.load_hint
+                    self.handle,
+                    request.request_class,
+                    self.server,
+                    request.key,
+                    request.group,
+                    request.tenant,
+                    request.load_hint,
                 )
             )
         else:
-            elapsed = self.host.now() - self.began
+            elapsed = self.host.now() - self.attempt_started_at
             self.host.post(api.Established(self.handle, self.attempts - 1, self.server, elapsed))
         if self.host.draining:
-            self.send_away()
-
-    def load_line(self, amount: float) -> None:
-        """Pass on what a LOAD line tells."""
-        if told := self.host.load_lines.read(self.server, self.handle, amount):
-            self.note(*told)
-
-    def message_took(self, took: int) -> None:
-        """Pass on how long a message took, where that is news."""
-        self.host.delays.record_answer(self.server, took)
-        if took > self.aim > 0:
-            self.host.late(self, took, False)
-        self._delay(took)
-
-    def _delay(self, took: int) -> None:
-        if self.host.delays.should_report(self.server, took):
-            self.note(api.NoteKind.DELAY, took / MS)
-
-    def look(self, now: int) -> None:
-        """Look at a connection that stands: one that returns nothing is told, and in the end broken off."""
+            self.move_unrequested()
+
+    def load_received(self, amount: float) -> None:
+        """Report the load or delay in a LOAD line to the decision module."""
+        if reading := self.host.load_lines.read(self.server, self.handle, amount):
+            self.note(*reading)
+
+    def message_answered(self, duration: int) -> None:
+        """Record a message's delay in nanoseconds, and report it to the decision module if it is due."""
+        self.host.delays.record_answer(self.server, duration)
+        if duration > self.aim > 0:
+            self.host.late(self, duration, False)
+        self._report_delay(duration)
+
+    def _report_delay(self, duration: int) -> None:
+        if self.host.delays.should_report(self.server, duration):
+            self.note(api.NoteKind.DELAY, duration / MS)
+
+    def check_silence(self, now: int) -> None:
+        """Report an established connection that returns nothing; close it after ``SILENT_TIMEOUT_NS``."""
         since = self.current.silent_since() if self.current is not None else 0
         if not since or self.current is None:
             return
         self.host.guard.silent(self.owed, now - since)
-        if now - since > self.aim > 0 and self.told_late != since:
-            self.told_late = since
+        if now - since > self.aim > 0 and self.late_reported != since:
+            self.late_reported = since
             self.host.late(self, now - since, True)
-        if now - since >= SILENT:
+        if now - since >= SILENT_TIMEOUT_NS:
             self.host.silent(self)
             self.current.break_off()
-        elif now - since >= UNANSWERED and not self.host.delays.answered_since(self.server, since):
-            self._delay(now - since)
-        elif now - since >= STALLED and self.told_silent != since:
-            # Guards against one connection that fell silent being told as a server that hangs.
-            self.told_silent = since
+        elif now - since >= UNANSWERED_REPORT_NS and not self.host.delays.answered_since(self.server, since):
+            self._report_delay(now - since)
+        elif now - since >= SILENT_REPORT_NS and self.silence_reported != since:
+            # The server answers other connections, so this is reported as one silent connection, not as a delay there.
+            self.silence_reported = since
             self.note(api.NoteKind.SILENT, (now - since) / MS)
 
     def note(self, kind: api.NoteKind, amount: float) -> None:
-        """Tell the module news of the connection."""
+        """Post a note on the connection to the decision module."""
         self.host.post(api.Note(self.handle, self.attempts - 1, self.server, kind, amount))
 
-    def over(self, result: api.Result, report: tuple[float, ...], broke: bool) -> None:
-        """Hear how the attempt ended."""
+    def attempt_ended(self, result: api.Result, report: tuple[float, ...], broke: bool) -> None:
+        """Handle the end of the current attempt, and post its outcome."""
         self.current = None
         self.host.guard.ended(self.owed, result)
-        stood = self.state is State.STANDING
-        if stood or (result is api.Result.OK and self.state is State.WAITING):
-            self.counts.fulfilled += not stood  # served to its end at once
+        was_established = self.state is State.ESTABLISHED
+        if was_established or (result is api.Result.OK and self.state is State.WAITING):
+            self.counts.fulfilled += not was_established  # served completely by its first answer
             self.state = State.OVER
             self.host.guard.answered(self.owed)
             self.host.ended(self, EndCause.SERVER_BROKE if result is api.Result.RESET else EndCause.SERVER_ENDED)
             self._stop_timer()
             self.agent.ended(broke)
-        elif self.ask.standing_at and self.state is State.WAITING:
+        elif self.request.standing_at and self.state is State.WAITING:
             self.fail()
             return
         self._outcome(self.attempts - 1, result, report)
 
-    # News of the user agent
+    # Events of the user agent
 
-    def gone(self, broke: bool) -> None:
-        """Hear that the client left."""
-        if self.state is State.STANDING:
+    def client_left(self, broke: bool) -> None:
+        """Handle the end of the client's connection, in order unless ``broke``."""
+        if self.state is State.ESTABLISHED:
             self.state = State.OVER
             self.host.ended(self, EndCause.CLIENT_LEFT)
             if self.current is not None:
@@ -266,30 +277,30 @@
             self.host.guard.client_left(self.owed)
             self.host.ended(self, EndCause.CLIENT_LEFT)
             self._stop_timer()
-            if self.ask.standing_at:
+            if self.request.standing_at:
                 self.cancel(self.attempts - 1)
             elif self.current is not None:
-                # Guards against an attempt that begins after its client left; unsent, it needs nobody's leave.
+                # Nothing may be sent once the client has left; withdrawing an unsent attempt needs no module action.
                 self.current.withdraw(api.Result.CANCELLED)
             self.host.post(api.ClientGone(self.handle))
             self._forget_if_over()
 
-    def cut_off(self) -> None:
-        """Hear that this relay itself closed the client's connection, and not by an answer."""
+    def closed_by_relay(self) -> None:
+        """Record that this relay closed the client's connection without an answer."""
         if self.state is State.WAITING:
             self.host.guard.closed(self.owed, by_relay=True)
 
-    def sending_ended(self) -> None:
-        """Hear that the client ended its sending: before an answer that means that it left."""
-        if self.state is State.STANDING and self.current is not None:
+    def client_ended_sending(self) -> None:
+        """Handle the end of the client's sending: before an answer it means that the client has left."""
+        if self.state is State.ESTABLISHED and self.current is not None:
             self.current.client_ended_sending()
         else:
-            self.gone(False)
+            self.client_left(False)
 
-    # Inside
+    # Internal methods
 
-    def _answered(self, cause: EndCause) -> bool:
-        """Tell whether the final answer may be given now; from here on it counts as given."""
+    def _begin_answer(self, cause: EndCause) -> bool:
+        """Return whether the final answer may be given now; if so, count it as given and cancel the attempt."""
         if self.state is not State.WAITING:
             return False
         self.state = State.OVER
@@ -301,10 +312,10 @@
         self._forget_if_over()
         return True
 
-    def _answer_owed(self) -> None:
-        """Answer a request that was held past its time: an answer is owed whatever the module does."""
+    def _answer_overdue(self) -> None:
+        """Fail a request that the module left unanswered past its deadline: each client gets an answer."""
         self.timer = None
-        if self._answered(EndCause.OVERDUE):
+        if self._begin_answer(EndCause.OVERDUE):
             self.host.overdue(self)
             self.counts.faulted += 1
             self.agent.fail()
@@ -313,7 +324,7 @@
     def _outcome(self, number: int, result: api.Result, report: tuple[float, ...]) -> None:
         last = self.state is State.OVER
         self._forget_if_over()
-        elapsed = self.host.now() - self.began
+        elapsed = self.host.now() - self.attempt_started_at
         self.host.post(api.Outcome(self.handle, number, self.server, result, elapsed, last, report))
 
     def _forget_if_over(self) -> None:
--- a/scaledeal/net/user_agent.py
+++ b/scaledeal/net/user_agent.py
@@ -11,306 +11,312 @@
 from scaledeal.net.admission import Admission
 from scaledeal.net.attempt import SECOND, AttemptContext, LineAttempt
 from scaledeal.net.lines import LineLink
-from scaledeal.net.sides import Agent, Ask, AttemptEvents, Carried, Resume, Resumption
+from scaledeal.net.sides import Agent, AttemptEvents, ClientRequest, PausedConnection, ResumableSession, SessionOpener
 from scaledeal.net.transaction import Transaction
 
-FIRST_LINE = 2.5  # seconds that a client may stay without a whole first line, or between two PINGs
-PINGS = 50  # PINGs taken in that time, twice those of a front that asks every 0.1 s; more are a flood
-EARLY = 16  # lines taken before the answer; more are a flood
-STOOD = 40_000  # ms after which a connection from before the start that is not up again is lost
+FIRST_LINE_TIMEOUT_S = 2.5  # for a complete first line, and between two PINGs
+MAX_PINGS = 50  # in that time: twice as many as from a front that sends one every 0.1 s; more are a flood
+MAX_EARLY_LINES = 16  # lines accepted before the answer; more are a flood
+STANDING_DEADLINE_CAP_MS = 40_000  # time to restore a connection that was established before the start
 
 
 class Stage(Enum):
-    """How far a client's connection has come."""
+    """The stage of a client's connection."""
 
-    FIRST = 1
-    ASKED = 2
-    STANDING = 3
+    FIRST_LINE = 1  # no request yet
+    REQUESTED = 2  # the request is not answered yet
+    ESTABLISHED = 3  # lines pass both ways
     OVER = 4
 
 
-class Reception(msgspec.Struct, frozen=True):
-    """What all user agents of this relay share."""
+class ClientContext(msgspec.Struct, frozen=True):
+    """State that all user agents of this relay share."""
 
-    context: AttemptContext
-    classes: dict[str, int]
-    tenants: dict[str, int]  # tenants' names in the settings, and their numbers
+    attempt_context: AttemptContext
+    classes: dict[str, int]  # numbers of classes, by name
+    tenants: dict[str, int]  # numbers of tenants, by their names in the settings
     admission: Admission
-    take: Callable[[Ask, Agent], Transaction]
-    ready: Callable[[], bool]  # whether a front that asks is told yes
-    resume: list[Resume] = msgspec.field(default_factory=list)  # who takes resumable sessions: none, or one
-    ids: set[str] = msgspec.field(default_factory=set)  # of the requests and connections that are open here
+    start_transaction: Callable[[ClientRequest, Agent], Transaction]
+    is_ready: Callable[[], bool]  # whether a PING of a front is answered with PONG
+    session_openers: list[SessionOpener] = msgspec.field(default_factory=list)  # none or one, for resumable sessions
+    open_ids: set[str] = msgspec.field(default_factory=set)  # of the requests and connections that are open here
 
-    def tenant(self, read: wording.OpenLine) -> int | None:
-        """Return the number of the tenant that a first line names in ``t``; None for one the settings lack.
+    def tenant_number(self, read: wording.OpenLine) -> int | None:
+        """Return the number of the tenant in a first line's ``t``; None if the settings do not have that tenant.
 
-        ``t`` names a tenant as the settings do (the protocol of both deployments); a whole number below
-        their count, the older form, is taken too. Without ``t`` a request is the first tenant's.
+        ``t`` is a tenant's name in the settings (in the protocol of both deployments) or, in the older form, a whole
+        number below the number of tenants. Without ``t`` the request belongs to the first tenant.
         """
-        told = read.get("t")
-        if not told:
+        name = read.get("t")
+        if not name:
             return 0
-        if (number := self.tenants.get(told)) is not None:
+        if (number := self.tenants.get(name)) is not None:
             return number
         count = max(1, len(self.tenants))
-        return int(told) if told.isdigit() and len(told) < 10 and int(told) < count else None
+        return int(name) if name.isdigit() and len(name) < 10 and int(name) < count else None
 
 
-def asked(read: wording.OpenLine, number: int, tenant: int, now: int) -> Ask:
-    """Return what a first line asks for at this moment: of class ``number``, for tenant ``tenant``."""
+def client_request(read: wording.OpenLine, number: int, tenant: int, now: int) -> ClientRequest:
+    """Return the request in a first line received at ``now``, of class ``number`` and tenant ``tenant``."""
     wait = int(read.get("d"))
     if read.get("at"):
-        wait = min(wait, STOOD)  # guards against one that waits for hours for a server that no list names
-    return Ask(
+        # Otherwise it could wait for hours for an application server that no list names.
+        wait = min(wait, STANDING_DEADLINE_CAP_MS)
+    return ClientRequest(
         request_class=number,
         deadline=now + wait * wording.MS,
         key=read.key,
         group=read.get("g"),
         tenant=tenant,
         returning=read.get("again") == "1",
-        load_hint=wording.number(read.get("h")) / 1000,  # nanoseconds a second, as in the simulator
+        load_hint=wording.number_or_zero(read.get("h")) / 1000,  # ``h`` is in nanoseconds a second, as in the simulator
         standing_at=read.get("at"),
-        name=read.id,
+        request_id=read.id,
     )
 
 
 class UserAgent(LineLink):
     """A client's connection."""
 
-    def __init__(self, reception: Reception) -> None:
-        context = reception.context
+    def __init__(self, client_context: ClientContext) -> None:
+        context = client_context.attempt_context
         super().__init__(context.reactor, context.pool)
-        self.reception = reception
-        self.stage = Stage.FIRST
+        self.client_context = client_context
+        self.stage = Stage.FIRST_LINE
         self.open_line: wording.OpenLine | None = None
         self.transaction: Transaction | None = None
         self.current: LineAttempt | None = None
-        self.session: Resumption | None = None
-        self.early: list[bytes] = []  # lines that came before the answer
-        self.pings, self.pinged_since = 0, 0  # PINGs since then
-        self.asked = False
+        self.session: ResumableSession | None = None
+        self.early: list[bytes] = []  # lines received before the answer
+        self.pings, self.pings_since = 0, 0  # PINGs counted since that time
+        self.has_request = False  # whether it was ever counted as a client with a request
 
-    # The client's lines
+    # Events of the client's connection
 
     def link_up(self) -> None:
-        """Guard against a client that never says anything, or only ever half of it."""
-        self.reception.admission.add(self)
-        self._set_timer(FIRST_LINE, self._too_late)
+        """Start the timeout of the first line: the client may send nothing, or only a part of its request."""
+        self.client_context.admission.add(self)
+        self._set_timer(FIRST_LINE_TIMEOUT_S, self._first_line_timed_out)
 
     def line_received(self, line: bytes) -> None:
-        """Take a line of the client's."""
-        if self.stage is Stage.STANDING and self.current is not None:
+        """Handle a line of the client."""
+        if self.stage is Stage.ESTABLISHED and self.current is not None:
             if self.session is None or self.session.from_client(line):
                 self.current.message(line)
             else:
                 self._cut()
-        elif self.stage is Stage.FIRST:
-            self._first(line)
-        elif self.stage is Stage.ASKED:
+        elif self.stage is Stage.FIRST_LINE:
+            self._first_line(line)
+        elif self.stage is Stage.REQUESTED:
             self.early.append(line)
-            # Read on: behind these lines stands the client's end, which its attempts must not outlive.
-            if len(self.early) > EARLY:
-                self._leave(False)
+            # Reading goes on, as the end of the client may follow these lines, and its attempts must not outlive it.
+            if len(self.early) > MAX_EARLY_LINES:
+                self._client_left(False)
                 self._reject("flooded")
 
     def partial_line_received(self, part: bytes) -> None:
-        """Tell the admission of a client that is writing its request."""
-        if self.stage is Stage.FIRST and wording.may_be_open(part):
-            self.reception.admission.record_write(self)
+        """Record in the admission that the client is writing its request."""
+        if self.stage is Stage.FIRST_LINE and wording.may_begin_open(part):
+            self.client_context.admission.record_write(self)
 
     def line_too_long(self) -> None:
-        """Answer a line that is too long."""
-        if self.stage is Stage.STANDING:
+        """Answer a line that is too long; reset an established connection."""
+        if self.stage is Stage.ESTABLISHED:
             self.reset()
         else:
-            # Guards against a request that is cut off without an answer, as what came behind it was bad.
-            self._leave(False)
+            # A request before this line is still owed its answer, so the connection is not just reset.
+            self._client_left(False)
             self._reject("line too long")
 
     def peer_ended_sending(self) -> None:
-        """Hear that the client ended its sending: as with an attempt, it gives up what it asked for."""
-        if self.stage is Stage.FIRST:
-            self._reject("never asked")
-        elif self.stage is Stage.ASKED:
-            self._leave(False)
+        """Handle the end of the client's sending: before the answer it means that the client gives up its request."""
+        if self.stage is Stage.FIRST_LINE:
+            self._reject("closed without a request")
+        elif self.stage is Stage.REQUESTED:
+            self._client_left(False)
             self.send(wording.ERR)
             self.end()
-        elif self.stage is Stage.STANDING and self.transaction is not None:
-            # What the application server still has to say passes until it ends its own sending.
-            self.transaction.sending_ended()
+        elif self.stage is Stage.ESTABLISHED and self.transaction is not None:
+            # Lines of the application server still pass until it ends its own sending.
+            self.transaction.client_ended_sending()
 
     def link_lost(self, broke: bool) -> None:
-        """Hear that the connection is over."""
+        """Handle the end of the connection."""
         if self.closed_here and self.transaction is not None:
-            self.transaction.cut_off()
-        self._leave(broke)
-        if self.asked:
-            self.reception.admission.request_ended()
+            self.transaction.closed_by_relay()
+        self._client_left(broke)
+        if self.has_request:
+            self.client_context.admission.request_ended()
         else:
-            self.reception.admission.remove(self)
+            self.client_context.admission.remove(self)
 
     def read_pending(self) -> None:
-        """Read what has come and waits for its turn."""
+        """Read the bytes that have arrived but are not read yet."""
         if self.wire is not None and not self.closing:
             self.wire.doRead()
 
     def close_now(self) -> None:
-        """Close now: others need the descriptor."""
+        """Reset the connection, to free its descriptor."""
         self.reset()
 
     def dismiss(self) -> None:
-        """Close with a word, as nobody will read here any more: what is asked in this very moment has its answer."""
+        """Answer ERR and close, as this process reads no more; so a request that arrives just now gets an answer."""
         self._reject("too late")
 
-    def _first(self, line: bytes) -> None:
+    def _first_line(self, line: bytes) -> None:
         if line == wording.PING:
             self._ping()
             return
-        read, reception = wording.read_open(line), self.reception
-        number = reception.classes.get(read.get("c")) if read else None
-        tenant = reception.tenant(read) if read else None
+        read, context = wording.read_open(line), self.client_context
+        number = context.classes.get(read.get("c")) if read else None
+        tenant = context.tenant_number(read) if read else None
         if read is None or number is None or tenant is None:
-            self._reject("no request")
+            self._reject("invalid request")
             return
-        if read.id in reception.ids:
-            # Guards against a client under another's id: servers turn it away, and that speaks against them.
+        if read.id in context.open_ids:
+            # Servers reject a second connection under the same id, and the rejections would count against them.
             self._reject("id in use")
             return
-        for resume in reception.resume:
-            session = resume(read.names)
+        for open_session in context.session_openers:
+            session = open_session(read.parameters)
             if isinstance(session, bytes):
                 self._reject("resume refused", session)
                 return
             self.session = session
             if session is not None:
                 session.cut = self._cut
-        self._has_asked(Stage.ASKED, read)
-        if not reception.admission.admit_request():
-            reception.admission.count_turned_away("no descriptor left")
+        self._request_received(Stage.REQUESTED, read)
+        if not context.admission.admit_request():
+            context.admission.count_turned_away("no descriptor left")
             self._refusal(wording.BUSY)
             return
-        self.transaction = reception.take(asked(read, number, tenant, reception.context.now()), self)
+        self.transaction = context.start_transaction(
+            client_request(read, number, tenant, context.attempt_context.now()), self
+        )
 
-    def _has_asked(self, stage: Stage, read: wording.OpenLine) -> None:
+    def _request_received(self, stage: Stage, read: wording.OpenLine) -> None:
         self._stop_timer()
-        self.stage, self.open_line, self.asked = stage, read, True
-        self.reception.ids.add(read.id)
-        self.reception.admission.request_received(self)
+        self.stage, self.open_line, self.has_request = stage, read, True
+        self.client_context.open_ids.add(read.id)
+        self.client_context.admission.request_received(self)
 
     def _ping(self) -> None:
-        now = self.reception.context.now()
-        if now - self.pinged_since > FIRST_LINE * SECOND:
-            self.pinged_since, self.pings = now, 0
+        now = self.client_context.attempt_context.now()
+        if now - self.pings_since > FIRST_LINE_TIMEOUT_S * SECOND:
+            self.pings_since, self.pings = now, 0
         self.pings += 1
-        if self.pings > PINGS:
+        if self.pings > MAX_PINGS:
             self._reject("flooded")
         else:
-            # A front that asks here hears of a drain as one that calls the operators' address.
-            self.send(wording.PONG if self.reception.ready() else wording.ERR)
-            self._set_timer(FIRST_LINE, self._no_more_pings)
+            # A front that sends PING here learns of a drain, as one that calls the operators' address does.
+            self.send(wording.PONG if self.client_context.is_ready() else wording.ERR)
+            self._set_timer(FIRST_LINE_TIMEOUT_S, self._pings_timed_out)
 
-    def _no_more_pings(self) -> None:
-        # Guards against a client that pinged, then took long to write its request, and is closed without a word.
+    def _pings_timed_out(self) -> None:
+        # A client that has begun to write its request after a PING gets an answer before the connection is closed.
         if self.has_partial_line():
-            self._too_late()
+            self._first_line_timed_out()
         else:
             self.end()
 
-    def _too_late(self) -> None:
+    def _first_line_timed_out(self) -> None:
         self._reject("too late")
 
-    def _reject(self, why: str, words: bytes = wording.ERR) -> None:
-        """Answer what is no request."""
-        self.reception.admission.count_turned_away(why)
+    def _reject(self, why: str, answer: bytes = wording.ERR) -> None:
+        """Answer and close a connection without a valid request; ``why`` is counted for the log."""
+        self.client_context.admission.count_turned_away(why)
         self._stop_timer()
         self.stage = Stage.OVER
-        self.send(words)
+        self.send(answer)
         self.end()
 
-    def _leave(self, broke: bool) -> None:
-        transaction = self._over()
+    def _client_left(self, broke: bool) -> None:
+        transaction = self._detach_transaction()
         if transaction is not None:
-            transaction.gone(broke)
+            transaction.client_left(broke)
 
     def _cut(self) -> None:
-        """Break a connection whose session another one holds now, or whose lines are none of it."""
-        self._leave(True)
+        """Reset a connection whose session another connection has resumed, or whose lines violate its session."""
+        self._client_left(True)
         self.reset()
 
-    def _over(self) -> Transaction | None:
-        """Be done with the transaction: the one place where its id is given back."""
+    def _detach_transaction(self) -> Transaction | None:
+        """Detach and return the transaction, if any; free its id, which happens nowhere else."""
         self.stage = Stage.OVER
         transaction, self.transaction = self.transaction, None
         if self.open_line is not None:
-            self.reception.ids.discard(self.open_line.id)
+            self.client_context.open_ids.discard(self.open_line.id)
             self.open_line = None
         if self.session is not None:
             self.session.leave()
         return transaction
 
-    # What the transaction calls
+    # Methods that the transaction calls (sides.Agent)
 
     def begin_attempt(self, address: str, wait: int, events: AttemptEvents) -> LineAttempt:
-        """Start one attempt."""
+        """Start one attempt that may wait ``wait`` nanoseconds for its answer."""
         assert self.open_line is not None
         read = self.open_line
         if self.session is not None:
-            read = msgspec.structs.replace(read, names=self.session.asked())
+            read = msgspec.structs.replace(read, parameters=self.session.asked())
         line = read.with_wait(wait)
-        self.current = LineAttempt(self.reception.context, line, self, events)
+        self.current = LineAttempt(self.client_context.attempt_context, line, self, events)
         return self.current.begin(address, wait)
 
     def refuse(self, retry_after: int) -> None:
-        """Answer that trying again is harmless."""
+        """Answer BUSY: the request can be repeated, after ``retry_after`` nanoseconds if above 0."""
         wait = -(-retry_after // wording.MS)
         self._refusal(b"%s %d" % (wording.BUSY, wait) if wait > 0 else wording.BUSY)
 
     def fail(self) -> None:
-        """Answer that it failed."""
+        """Answer ERR: the request failed."""
         self._refusal(wording.ERR)
 
     def move(self) -> None:
-        """Tell the client to come again; lines are whole here, so this stands between two of them."""
+        """Send MOVE, so that the client reconnects; only whole lines are queued, so it never splits one."""
         self._answer(wording.MOVE if self.session is None else self.session.move())
 
     def ended(self, broke: bool) -> None:
-        """Close as the application server's side did."""
-        self._over()
+        """Close as the application server's side did: in order unless ``broke``."""
+        self._detach_transaction()
         if broke:
-            # Guards against an answer that is passed on and never read, as its server dies right behind it.
+            # An answer that was passed on just before its server died is still written to the client.
             self.flush_and_reset()
         else:
             self.end()
 
-    # Another process
+    # Hand-over to another process
 
     def resumed(self, read: wording.OpenLine, transaction: Transaction, current: LineAttempt) -> None:
-        """Stand from the beginning: another process has brought it up."""
-        self._has_asked(Stage.STANDING, read)
+        """Start as established: another process has set up the connection."""
+        self._request_received(Stage.ESTABLISHED, read)
         self.transaction, self.current = transaction, current
 
-    def hand_over(self) -> Carried | None:
-        """Stop reading a connection that stands, and return it; None while anything of it is under way."""
+    def hand_over(self) -> PausedConnection | None:
+        """Pause an established connection and return it; return None while it has data in transit or a session."""
         current, read = self.current, self.open_line
         if self.session is not None:
-            return None  # it is moved, and goes on at the new version by its token
+            return None  # it is moved, and the client resumes it at the new version by its token
         if read is None or current is None or not (self.is_idle() and current.link.is_idle()):
             return None
-        (mine, of_client), (other, of_server) = self.pause_for_handover(), current.link.pause_for_handover()
+        (client_fd, from_client), (server_fd, from_server) = (
+            self.pause_for_handover(),
+            current.link.pause_for_handover(),
+        )
         line = read.with_wait(int(read.get("d")) * wording.MS)
-        state = wording.Paused(line, current.asked_at, of_client, of_server)
-        return Carried((mine, other), msgspec.json.encode(state))
+        state = wording.HandoverState(line, current.asked_at, from_client, from_server)
+        return PausedConnection((client_fd, server_fd), msgspec.json.encode(state))
 
     def release(self) -> None:
-        """Give up what was handed over: another process has it."""
-        self._over()
+        """Close this process's descriptors of the handed-over connection, without ending it."""
+        self._detach_transaction()
         if self.current is not None:
             self.current.let_go()
         super().release()
-        self.reception.admission.request_ended()
+        self.client_context.admission.request_ended()
 
     def cancel_handover(self) -> None:
-        """Read on: no other process has it."""
+        """Resume the connection: no other process has taken it."""
         self.resume_after_handover()
         if self.current is not None:
             self.current.link.resume_after_handover()
@@ -319,24 +325,24 @@
         self._answer(line if self.session is None else self.session.refusal(line))
 
     def _answer(self, line: bytes) -> None:
-        self._over()
+        self._detach_transaction()
         self.send(line)
         self.end()
 
-    # What the attempt calls
+    # Methods that the attempt calls (attempt.Peer)
 
     def stands(self, link: LineLink, line: bytes) -> bool:
-        """Pass on the answer; from here on lines go both ways. Tell whether the client is still there."""
-        if self.stage is not Stage.ASKED:
+        """Pass on the answer and relay lines both ways from here on; return False if the client has left."""
+        if self.stage is not Stage.REQUESTED:
             return False
-        self.stage = Stage.STANDING
-        for each in [line] if self.session is None else self.session.up(line):
-            self.send(each)
+        self.stage = Stage.ESTABLISHED
+        for next_line in [line] if self.session is None else self.session.up(line):
+            self.send(next_line)
         self.set_sink(link)
         link.set_sink(self)
         early, self.early = self.early, []
-        for each in early:
-            self.line_received(each)
+        for next_line in early:
+            self.line_received(next_line)
         return True
 
     def pass_on(self, line: bytes) -> None:
@@ -344,9 +350,9 @@
         if self.session is None:
             self.send(line)
             return
-        told = self.session.to_client(line)
-        if told is None:
+        replies = self.session.to_client(line)
+        if replies is None:
             self._cut()
         else:
-            for each in told:
-                self.send(each)
+            for reply in replies:
+                self.send(reply)
--- a/scaledeal/net/wording.py
+++ b/scaledeal/net/wording.py
@@ -19,25 +19,32 @@
     b"MOVE",
     b"LOAD",
 )
-# Load reports name their values as the simulator does; the settings use the wire's words.
-_REPORTED = {"eps": "fail_rate", "inflight": "rif", "util": "busy", "queue": "q", "latency_ms": "lat_ms", "qps": "rate"}
+# Load reports use the simulator's field names; the settings use the names on the right.
+_FIELD_BY_REPORT_NAME = {
+    "eps": "fail_rate",
+    "inflight": "rif",
+    "util": "busy",
+    "queue": "q",
+    "latency_ms": "lat_ms",
+    "qps": "rate",
+}
 MS = 1_000_000
-LONGEST_WAIT = 86_400_000  # ms; no client waits longer than a day
+MAX_WAIT_MS = 86_400_000  # a day
 _ID = re.compile(r"[0-9A-Za-z][0-9A-Za-z_.:-]{0,127}")
-_FIGURE = re.compile(r"[0-9]{1,15}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,2})?")
+_NUMBER = re.compile(r"[0-9]{1,15}(\.[0-9]{1,18})?([eE][+-]?[0-9]{1,2})?")
 _COUNT = re.compile(r"[0-9]{1,9}")
 
 
 class OpenLine(msgspec.Struct, frozen=True):
-    """A client's first line: OPEN, its id, the flow's key and the named values as they came."""
+    """A client's first line: OPEN, the connection's id, its key, and the parameters as they were received."""
 
     head: bytes
     key: str
-    names: dict[str, str]
+    parameters: dict[str, str]
 
     def get(self, name: str) -> str:
-        """Return a named value, or nothing."""
-        return self.names.get(name, "")
+        """Return a parameter, or an empty string if it is absent."""
+        return self.parameters.get(name, "")
 
     @property
     def id(self) -> str:
@@ -45,59 +52,61 @@
         return self.head.split(b" ")[1].decode()
 
     def with_wait(self, wait: int) -> bytes:
-        """Return the line with ``d`` at so many nanoseconds and all else unchanged."""
-        told = str(max(1, wait // MS))
-        values = ",".join(f"{name}={told if name == 'd' else value}" for name, value in self.names.items())
+        """Return the line with ``d`` set to ``wait`` nanoseconds, at least 1 ms, and all else unchanged."""
+        milliseconds = str(max(1, wait // MS))
+        values = ",".join(f"{name}={milliseconds if name == 'd' else value}" for name, value in self.parameters.items())
         return self.head + values.encode()
 
 
-class Paused(msgspec.Struct, frozen=True, array_like=True):
-    """A connection that stands, as another process of the relay goes on with it."""
+class HandoverState(msgspec.Struct, frozen=True, array_like=True):
+    """The state of an established connection that another process of the relay takes over."""
 
-    line: bytes  # the client's first
+    line: bytes  # the client's first line
     asked_at: int  # since when a message waits for its answer, or 0; all processes read the same clock
-    of_client: bytes  # what has come of a line that is not whole, from either side
-    of_server: bytes
+    from_client: bytes  # the beginning of an incomplete line from the client
+    from_server: bytes  # the same from the application server
 
 
 def read_open(line: bytes) -> OpenLine | None:
-    """Read a client's first line; None if it is none, or if a figure in it is no such figure.
+    """Parse a client's first line; return None if it is malformed or one of its numbers is invalid.
 
-    Guards against a request that an application server can't use: one that is sent on all the same is tried
-    again elsewhere, and its errors speak against servers that are sound.
+    An application server would reject such a request. If the relay sent it on, it would try it again at other
+    servers, and the errors would count against servers that are sound.
     """
     parts = line.decode("ascii", "replace").split(" ")
     if len(parts) != 4 or parts[0] != "OPEN" or not line.isascii() or not all(map(str.isprintable, parts)):
         return None
-    names: dict[str, str] = {}
+    parameters: dict[str, str] = {}
     for pair in parts[3].split(","):
         name, equals, value = pair.partition("=")
-        if not (name and equals) or name in names:
+        if not (name and equals) or name in parameters:
             return None
-        names[name] = value
-    figures = _FIGURE.fullmatch(names.get("h", "0")) and _ID.fullmatch(names.get("t", "0"))  # a tenant's name
-    wait = names.get("d", "")
-    if not (_ID.fullmatch(parts[1]) and parts[2] and figures and names.get("c") and _COUNT.fullmatch(wait)):
+        parameters[name] = value
+    numbers_valid = _NUMBER.fullmatch(parameters.get("h", "0")) and _ID.fullmatch(
+        parameters.get("t", "0")
+    )  # a tenant's name
+    wait = parameters.get("d", "")
+    if not (_ID.fullmatch(parts[1]) and parts[2] and numbers_valid and parameters.get("c") and _COUNT.fullmatch(wait)):
         return None
     head = " ".join(parts[:3]).encode() + b" "
-    return OpenLine(head, parts[2], names) if 0 < int(wait) <= LONGEST_WAIT else None
+    return OpenLine(head, parts[2], parameters) if 0 < int(wait) <= MAX_WAIT_MS else None
 
 
-def may_be_open(part: bytes) -> bool:
-    """Tell whether this may become a client's first line."""
+def may_begin_open(part: bytes) -> bool:
+    """Return whether this may be the beginning of a client's first line."""
     return part[:5] == b"OPEN "[: len(part)]
 
 
-def number(text: str) -> float:
-    """Read a number; 0 where there is none."""
+def number_or_zero(text: str) -> float:
+    """Parse a number; return 0 if the text is not one."""
     try:
         return float(text)
     except ValueError:
         return 0.0
 
 
-def figure(text: str) -> float:
-    """Read a number that is owed; NaN where there is none."""
+def number_or_nan(text: str) -> float:
+    """Parse a required number; return NaN if the text is not one."""
     try:
         return float(text)
     except ValueError:
@@ -105,23 +114,24 @@
 
 
 def first_word(line: bytes) -> bytes:
-    """Return a line's first word."""
+    """Return the first word of a line."""
     return line.split(b" ", 1)[0]
 
 
 def report_reader(fields: tuple[str, ...]) -> Callable[[bytes], tuple[float, ...]]:
-    """Return what reads the load report behind a line's first word, in the order of the settings.
+    """Return a function that parses the load report after a line's first word.
 
-    A value that is no number, or that contradicts itself, is NaN; a report that lacks one is none.
+    That function returns the values of ``fields`` in order, or an empty tuple if one of them is missing. A value that
+    is not a number, or that is given twice with different numbers, is NaN.
     """
 
     def read(line: bytes) -> tuple[float, ...]:
-        told: dict[str, float] = {}
+        values: dict[str, float] = {}
         for pair in line.partition(b" ")[2].decode("ascii", "replace").split(","):
             name, equals, value = pair.partition("=")
             if equals:
-                known, amount = _REPORTED.get(name, name), figure(value)
-                told[known] = amount if told.get(known, amount) == amount else math.nan
-        return tuple(told[name] for name in fields) if all(name in told for name in fields) else ()
+                field, amount = _FIELD_BY_REPORT_NAME.get(name, name), number_or_nan(value)
+                values[field] = amount if values.get(field, amount) == amount else math.nan
+        return tuple(values[name] for name in fields) if all(name in values for name in fields) else ()
 
     return read
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -6,7 +6,7 @@
 
 from scaledeal import interface as api
 from scaledeal.net.ports import Timer
-from scaledeal.net.sides import AttemptEvents, Carried
+from scaledeal.net.sides import AttemptEvents, PausedConnection
 from scaledeal.net.transaction import Transaction
 from scaledeal.quic.core.table import Flow
 from scaledeal.quic.wire import frames
@@ -33,7 +33,7 @@
         self.timer = self.side.reactor.callLater(wait / 1e9, self.failed, api.Result.TIMEOUT)
         sent = self.side.carry_out(self.side.router.attempt(self.flow, self.events.server, self.side.now()))
         if sent and self.flow.attempt is not None:
-            self.events.written()
+            self.events.request_written()
         else:
             # Later, as the transaction does not hold this attempt yet.
             self.side.reactor.callLater(0, self.failed, api.Result.CONNECT_FAILED)
@@ -87,7 +87,7 @@
     def _over(self, result: api.Result) -> None:
         self.done = True
         self._stop_timer()
-        self.events.over(result, (), False)
+        self.events.attempt_ended(result, (), False)
 
     def _stop_timer(self) -> None:
         if self.timer is not None and self.timer.active():
@@ -146,9 +146,9 @@
         else:
             # Guards against servers taken for draining: it is not they who ended this.
             self.side.driver.post(api.ClientGone(transaction.handle))
-            transaction.gone(False)
+            transaction.client_left(False)
 
-    def hand_over(self) -> Carried | None:
+    def hand_over(self) -> PausedConnection | None:
         """Return None: a new version finds flows by their ids."""
         return None
 
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -17,7 +17,7 @@
 from scaledeal.net.ports import Reactor
 from scaledeal.net.relay import Relay
 from scaledeal.net.service import Stage
-from scaledeal.net.sides import Ask
+from scaledeal.net.sides import ClientRequest
 from scaledeal.operator import FileError, Quic
 from scaledeal.quic.core import verdicts as v
 from scaledeal.quic.core.router import Router
@@ -90,7 +90,7 @@
 
     def _reserve(self) -> None:
         """Take the paths' descriptors out of what lines may use."""
-        admission = self.relay.door.reception.admission
+        admission = self.relay.door.client_context.admission
         wanted = self.quic.max_paths + 4  # the front, the handover, and its two ends
         if admission.limit - wanted < RESERVED_DESCRIPTORS + LEAST_IDLE:
             raise told.ConfigError(
@@ -249,7 +249,7 @@
             self.carry_out(self.router.answer(flow, frames.CONNECTION_REFUSED, b"no rule", self.now()))
             return True
         flow.agent = agent = QuicAgent(self, flow)
-        ask = Ask(wish.request_class, self.now() + wish.deadline, wish.key, wish.group, wish.tenant)
+        ask = ClientRequest(wish.request_class, self.now() + wish.deadline, wish.key, wish.group, wish.tenant)
         agent.transaction = self.driver.take(ask, agent)
         return True
 
@@ -259,7 +259,7 @@
         rule = self.quic.rule[-1]
         number, deadline = self.placing.classes.get(rule.class_name, (0, 1))
         flow.agent = agent = QuicAgent(self, flow)
-        ask = Ask(number, self.now() + deadline, flow.source[0], "", rule.tenant)
+        ask = ClientRequest(number, self.now() + deadline, flow.source[0], "", rule.tenant)
         agent.stands(self.driver.resume(ask, agent, flow.server, 0.0))
         return True
 
--- a/scaledeal/resume/wire/side.py
+++ b/scaledeal/resume/wire/side.py
@@ -48,7 +48,7 @@
             if why:
                 log.error("the ledger can't be believed: all its sessions begin anew", reason=why)
         self.desk = Desk(owner, self.sealer, int(resume.expiry), self.relay.unix_clock.now)
-        self.relay.door.reception.resume.append(self.desk.come)
+        self.relay.door.client_context.session_openers.append(self.desk.come)
 
     def listed(self, event: api.Membership) -> None:
         """Hear news of the list: nothing here hangs on it."""
@@ -82,7 +82,7 @@
     def close(self) -> None:
         """Give the ledger back."""
         self.closed = True
-        self.relay.door.reception.resume.clear()
+        self.relay.door.client_context.session_openers.clear()
         if self.ledger is not None:
             self.ledger.close()
 
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -28,7 +28,7 @@
 from scaledeal.net.relay import Relay
 from scaledeal.net.service import Service, Stage
 from scaledeal.net.system import System
-from scaledeal.net.user_agent import Reception
+from scaledeal.net.user_agent import ClientContext
 from scaledeal.net.wording import report_reader
 
 MS = 1_000_000
@@ -239,7 +239,7 @@
         self.admission.probe_connections, self.admission.limit_probes = self.probes.held, self.probes.give_back
         self.driver.prober = self.probes
         self.service = Service(self.driver)
-        self.reception = Reception(
+        self.client_context = ClientContext(
             context,
             {"browse": 0},
             {"acme": 0},
@@ -261,7 +261,7 @@
 
     def knock(self) -> Wire | None:
         """Connect as a client does; nothing where the socket is closed at once."""
-        agent = ClientFactory(self.reception).buildProtocol(None)
+        agent = ClientFactory(self.client_context).buildProtocol(None)
         return Wire(self.reactor, agent) if agent else None
 
     def act(self, *actions: api.Action) -> None:
--- a/tests/test_admission_model.py
+++ b/tests/test_admission_model.py
@@ -134,7 +134,7 @@
         assert not self.bench.admission.closing and self.bench.pool.in_use == 0
         for wire in self.good:
             wire.lose(error.ConnectionLost())
-        assert self.bench.admission.active == 0 and not self.bench.reception.ids
+        assert self.bench.admission.active == 0 and not self.bench.client_context.open_ids
 
 
 def test_bad_clients_in_any_number_starve_nobody():
--- a/tests/test_carry_model.py
+++ b/tests/test_carry_model.py
@@ -95,13 +95,13 @@
             return
         new = Bench()
         new.reactor.advance(self.bench.reactor.seconds() - new.reactor.seconds())
-        assert resume(new.reception, new.driver, *line.handed[0])
+        assert resume(new.client_context, new.driver, *line.handed[0])
         carrier.taken(handle)
         assert self.client.handle.closed and self.server.handle.closed and not self.client.fin_sent
         self.nothing_is_left_of_it(self.bench)
         told = new.module.of(api.OpenConnection)[0]
         assert (told.server, told.key, told.group, told.inherited) == ("a", "7f3a", "5c0f", True)
-        assert new.reception.ids == {"9b1f"} and new.admission.active == 1 and not new.admission.silent
+        assert new.client_context.open_ids == {"9b1f"} and new.admission.active == 1 and not new.admission.silent
         self.before_client += self.client.sent
         self.before_server += self.server.sent
         self.bench, (self.client, self.server) = new, new.reactor.adopted
@@ -109,7 +109,7 @@
         type(self).times += 1
 
     def nothing_is_left_of_it(self, bench: Bench) -> None:
-        assert not bench.driver.transactions and not bench.reception.ids
+        assert not bench.driver.transactions and not bench.client_context.open_ids
         assert bench.admission.active == 0 == bench.pool.in_use and not bench.admission.silent
         gone, ended = bench.module.of(api.ClientGone), bench.module.of(api.Outcome)
         assert len(ended) == 1 and ended[0].last and ended[0].result is api.Result.CANCELLED
@@ -155,9 +155,9 @@
     carrier.round()
     told, descriptors = line.handed[0]
     other = Bench()
-    other.reception.classes.clear()  # a version with other settings
-    assert not resume(other.reception, other.driver, told, descriptors)
-    assert not resume(Bench().reception, other.driver, Handed(told.handle, "a", 0.0, b"junk"), descriptors)
+    other.client_context.classes.clear()  # a version with other settings
+    assert not resume(other.client_context, other.driver, told, descriptors)
+    assert not resume(Bench().client_context, other.driver, Handed(told.handle, "a", 0.0, b"junk"), descriptors)
     assert not other.driver.transactions and not other.reactor.adopted
     carrier.lost()
     client.receive(b"M 1\r\n")
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -18,7 +18,7 @@
 from scaledeal.net.admission import RESERVED_DESCRIPTORS, RESERVED_FOR_CLOSING
 from scaledeal.net.buffers import MAX_LINE_BYTES
 from scaledeal.net.client_listener import ClientFactory, ClientListener
-from scaledeal.net.transaction import SLACK
+from scaledeal.net.transaction import DEADLINE_SLACK_NS
 
 FINAL = (b"UP", b"BUSY", b"ERR")
 LATE = 0.05  # seconds beyond its time that a final answer may take
@@ -262,7 +262,9 @@
             assert len(finals(client)) == 1 and client.fin_due, where
             play(one, act, began + wait + 4)
             assert len(client.lines()) == 1 and (term is None or one.stopped), where
-            assert not one.relay.driver.transactions and one.relay.door.reception.context.pool.in_use == 0, where
+            assert (
+                not one.relay.driver.transactions and one.relay.door.client_context.attempt_context.pool.in_use == 0
+            ), where
             assert all(each.over for each in one.attempts()) and not [w for w in up(one, 0) if not w.closing], where
 
 
@@ -290,7 +292,7 @@
 
     one.relay.driver.balancer.handle = broken  # type: ignore[method-assign]
     client = one.client(1, 900)
-    play(one, refuse_all, one.reactor.seconds() + 0.9 + SLACK / 1e9 + STEP)
+    play(one, refuse_all, one.reactor.seconds() + 0.9 + DEADLINE_SLACK_NS / 1e9 + STEP)
     assert len(finals(client)) == 1 and not one.relay.driver.transactions
 
 
@@ -321,7 +323,7 @@
         bench.knock()
         bench.reactor.advance(0)
     assert silent.lost and silent.sent == b""
-    asked = [each for each in clients if each.link.asked and not each.lines()]
+    asked = [each for each in clients if each.link.has_request and not each.lines()]
     assert asks in asked and len(bench.module.of(api.Request)) == len(asked) == 4, "all that there is room for"
     for each in others:
         assert each in asked or each.lines() == [b"BUSY"], "shut unread"
@@ -395,7 +397,7 @@
     reactor: Any = cast(Any, MonotonicReactor)()
     bench = Bench()
     bench.driver.leaving = True
-    listener: Any = ClientListener(0, ClientFactory(bench.reception), 64, "127.0.0.1", reactor)
+    listener: Any = ClientListener(0, ClientFactory(bench.client_context), 64, "127.0.0.1", reactor)
     listener.startListening()
     at = ("127.0.0.1", listener.getHost().port)
     listener.stopListening()
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -50,7 +50,7 @@
     server = one.attempts()[0].up(one.reactor)
     server.flush()
     (transaction,) = one.relay.driver.transactions.values()
-    turns = [lambda: server.receive(b"UP 1\r\n"), transaction._answer_owed]
+    turns = [lambda: server.receive(b"UP 1\r\n"), transaction._answer_overdue]
     for turn in turns if first == "answer" else reversed(turns):
         if not server.lost and not server.closing:
             turn()
--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -19,8 +19,8 @@
 from twisted.internet import error
 
 from scaledeal import interface as api
-from scaledeal.net.transaction import SLACK
-from scaledeal.net.user_agent import EARLY
+from scaledeal.net.transaction import DEADLINE_SLACK_NS
+from scaledeal.net.user_agent import MAX_EARLY_LINES
 
 WAIT_MS = 3000
 OPEN = b"OPEN 9b1f 7f3a c=browse,d=%d,g=5c0f,x=1" % WAIT_MS
@@ -105,7 +105,7 @@
     @precondition(lambda self: self.client is not None and not self.client_left and not self.over)
     @rule(text=st.sampled_from([b"M 1", b"MOVE", b""]), split=st.booleans())
     def client_speaks(self, text: bytes, split: bool) -> None:
-        if self.client.paused or not self.stood and len(self.early) == EARLY:
+        if self.client.paused or not self.stood and len(self.early) == MAX_EARLY_LINES:
             return  # one more would be a flood: test_net_parts.py
         self.client.receive(text[:1] if split else b"")
         self.client.receive((text[1:] if split else text) + b"\r\n")
@@ -286,7 +286,7 @@
                     assert outcome.result in (api.Result.TIMEOUT, api.Result.CONNECT_FAILED, api.Result.CANCELLED)
                     self.told[number] = outcome.result
         self.over = self.over or any(outcome.last for outcome in self.events(api.Outcome))
-        due = self.asked_at + WAIT_MS * 1_000_000 + SLACK
+        due = self.asked_at + WAIT_MS * 1_000_000 + DEADLINE_SLACK_NS
         if self.client is not None and not self.stood and self.now() >= due:
             if not self.over:
                 assert self.client.lines()[-1] == b"ERR", "an answer is owed"
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -25,7 +25,7 @@
 from scaledeal.net.lines import CLOSE_TIMEOUT_S, MAX_DISCARDED_BYTES, STALL_TIMEOUT_S, LineLink
 from scaledeal.net.load_lines import LoadLines
 from scaledeal.net.roster import Calendar, Catalog, Endpoint, Roster
-from scaledeal.net.user_agent import EARLY
+from scaledeal.net.user_agent import MAX_EARLY_LINES
 from scaledeal.net.watch_times import WatchTimes
 
 OPEN = b"OPEN 9b1f 7f3a c=browse,d=800,g=5c0f\r\n"
@@ -338,7 +338,7 @@
     bench.act(api.Move(name))
     again = bench.client()
     again.receive(OPEN)
-    assert again.lines() == [] and len(bench.module.of(api.Request)) == 2 and len(bench.reception.ids) == 1
+    assert again.lines() == [] and len(bench.module.of(api.Request)) == 2 and len(bench.client_context.open_ids) == 1
 
 
 def test_a_flood_before_the_answer_is_turned_away():
@@ -405,7 +405,7 @@
     for _ in range(40):
         bench.client().receive(b"frob\r\n")
     bench.reactor.advance(SUMMARY_INTERVAL_S)
-    assert [r.getMessage() for r in caplog.records] == ["clients turned away in 10 s: 40 no request"]
+    assert [r.getMessage() for r in caplog.records] == ["clients turned away in 10 s: 40 invalid request"]
     bench.reactor.advance(2 * SUMMARY_INTERVAL_S)
     assert len(caplog.records) == 1 and bench.reactor.getDelayedCalls() == []
 
@@ -584,7 +584,7 @@
     assert len(bench.reactor.dialled) == (stage != "held"), "a further attempt"
     results = [event.result for event in bench.module.of(api.Outcome) if event.result is not api.Result.NOT_SENT]
     assert results == ([] if stage == "held" else [api.Result.CANCELLED]), "no fault of the server's"
-    assert not bench.driver.transactions and not bench.reception.ids
+    assert not bench.driver.transactions and not bench.client_context.open_ids
 
 
 def test_more_lines_than_a_client_may_send_too_soon_end_its_request_and_its_attempt():
@@ -592,7 +592,7 @@
     client = bench.client()
     client.receive(OPEN)
     bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
-    for _ in range(EARLY):
+    for _ in range(MAX_EARLY_LINES):
         client.receive(b"M 1\r\n")
     assert client.lines() == [] and not bench.reactor.dialled[0].over
     client.receive(b"M 1\r\n")
