--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -1,4 +1,4 @@
-"""A reactor whose sockets are moved by the test: no time passes and no byte moves by itself."""
+"""Fakes of the reactor, transports and decision module: time and bytes move only when the test moves them."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 }
 
 
-class Handle:
-    """A socket, as far as handing it over goes."""
+class FakeSocket:
+    """A socket, as far as a hand-over uses it."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -59,18 +59,18 @@
 
 
 class Wire:
-    """A transport; what is written moves only by ``flush``."""
+    """A fake transport; written bytes are sent only by ``flush`` or ``doWrite``."""
 
     def __init__(self, clock: FakeReactor, link: LineLink) -> None:
         self.clock, self.link = clock, link
         self.queued, self.sent = b"", b""
-        self.unread = b""  # what has come and is not read yet
+        self.unread = b""  # bytes that have arrived but are not read yet
         self.fin_sent = self.fin_due = self.closing = self.lost = self.paused = False
         self.aborted = False
         self.bufferSize = 0
         self.producer: Any = None
         self.streaming = True
-        self.handle = Handle()
+        self.handle = FakeSocket()
         clock.up.append(self)
         link.makeConnection(self)
 
@@ -79,11 +79,11 @@
         if not self.closing and not self.fin_due:
             self.queued += data
 
-    def flush(self, most: int = 1 << 30) -> None:
-        if self.lost or self.aborted:  # what is queued when a connection is reset is never sent
+    def flush(self, max_bytes: int = 1 << 30) -> None:
+        if self.lost or self.aborted:  # a reset connection never sends its queued bytes
             return
         assert not (self.fin_sent and self.queued)
-        self.sent, self.queued = self.sent + self.queued[:most], self.queued[most:]
+        self.sent, self.queued = self.sent + self.queued[:max_bytes], self.queued[max_bytes:]
         if self.queued:
             return
         if self.producer is not None and not self.streaming:
@@ -124,7 +124,7 @@
     def setTcpNoDelay(self, enabled: bool) -> None:
         assert enabled
 
-    def getHandle(self) -> Handle:
+    def getHandle(self) -> FakeSocket:
         return self.handle
 
     def stopReading(self) -> None:
@@ -133,7 +133,7 @@
     def stopWriting(self) -> None:
         assert not self.queued, "handed over with lines queued"
 
-    # What the test does to the other end
+    # Actions of the peer, called by the test
 
     def lose(self, why: Exception) -> None:
         if not self.lost:
@@ -160,6 +160,8 @@
 
 @dataclass
 class Dialled:
+    """A connect to a server; the test lets it come up or fail."""
+
     address: str
     factory: Any
     due: Any = None
@@ -197,15 +199,15 @@
         self.adopted.append(Wire(self, factory.buildProtocol(None)))
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> Dialled:
-        made = Dialled(f"{host}:{port}", factory)
-        made.due = self.callLater(timeout, made.fail)
-        self.dialled.append(made)
-        return made
+        dialled = Dialled(f"{host}:{port}", factory)
+        dialled.due = self.callLater(timeout, dialled.fail)
+        self.dialled.append(dialled)
+        return dialled
 
 
 @dataclass
-class Scripted:
-    """Stands in for the decision module: keeps its events, does what the test says."""
+class ScriptedModule:
+    """Replaces the decision module: records its events and returns the actions that the test sets."""
 
     seen: list[api.Event] = field(default_factory=list)
     reply: Callable[[api.Event], list[api.Action]] = lambda event: []
@@ -217,19 +219,19 @@
     def rotation(self) -> tuple[int, int]:
         return 2, 0
 
-    def of(self, kind: type) -> list[Any]:
+    def events_of(self, kind: type) -> list[Any]:
         return [event for event in self.seen if type(event) is kind]
 
 
 class Bench:
-    """A driver and its user agents on fakes."""
+    """A driver with its admission, probes and user agents, on the fake reactor and a scripted module."""
 
     def __init__(self) -> None:
         self.reactor = FakeReactor()
-        self.reactor.advance(1000)  # a clock at 0 means "never" here
+        self.reactor.advance(1000)  # times of 0 mean "never" in the code under test
         self.pool = BufferPool()
         self.driver = Driver(self.reactor, SETTINGS, 1, Figures(("browse",)), lambda: int(self.reactor.seconds() * 1e9))
-        self.module = Scripted()
+        self.module = ScriptedModule()
         self.driver.balancer = self.module  # type: ignore[assignment]
         context = AttemptContext(
             self.reactor, self.pool, self.driver.now, report_reader(("fail_rate", "rif", "x0")), 250 * MS
@@ -255,27 +257,29 @@
         self.driver.listed(api.Membership(api.MembershipKind.CHANGES, entries), addresses)
 
     def client(self) -> Wire:
-        made = self.knock()
-        assert made is not None, "no room"
-        return made
+        """Connect as a client; fail if the connection is rejected."""
+        wire = self.connect()
+        assert wire is not None, "no room"
+        return wire
 
-    def knock(self) -> Wire | None:
-        """Connect as a client does; nothing where the socket is closed at once."""
+    def connect(self) -> Wire | None:
+        """Connect as a client; return None if the socket is closed at once."""
         agent = ClientFactory(self.client_context).buildProtocol(None)
         return Wire(self.reactor, agent) if agent else None
 
     def act(self, *actions: api.Action) -> None:
-        """Have the decision module want this now."""
+        """Have the decision module return these actions now."""
         self.module.reply = lambda event: list(actions) if isinstance(event, api.Timer) else []
         self.driver.post(api.Timer(0))
         self.module.reply = lambda event: []
 
     def wires(self) -> list[Wire]:
+        """Return the connections to application servers that came up."""
         return [d.wire for d in self.reactor.dialled if d.wire is not None]
 
 
 class FakePort:
-    """The clients' listening socket: how often it was opened and closed, and when it was closed."""
+    """The listening socket for clients; records how often it was opened, and when it was closed."""
 
     def __init__(self, reactor: FakeReactor) -> None:
         self.reactor = reactor
@@ -289,14 +293,14 @@
         self.closed.append(self.reactor.seconds())
 
     def startReading(self) -> None:
-        """Nothing: the test hands clients over itself."""
+        """Do nothing: the test connects clients itself."""
 
     def getHost(self) -> Any:
         return IPv4Address("TCP", "127.0.0.1", 9)
 
 
 class OneRelay:
-    """A whole relay, its module included, on a reactor whose sockets the test moves."""
+    """A complete relay with its real decision module, on the fake reactor."""
 
     def __init__(self, folder: Path, servers: int = 1, settings: dict[str, Any] = SITE) -> None:
         self.reactor: Any = FakeReactor()
@@ -319,42 +323,44 @@
         self.seen: list[api.Event] = []
         handle = self.relay.driver.balancer.handle
 
-        def handled(now: int, event: api.Event) -> list[api.Action]:
+        def record_and_handle(now: int, event: api.Event) -> list[api.Action]:
             self.seen.append(event)
             return handle(now, event)
 
-        self.relay.driver.balancer.handle = handled  # type: ignore[method-assign]
+        self.relay.driver.balancer.handle = record_and_handle  # type: ignore[method-assign]
         self.relay.start()
 
     def _stop(self) -> None:
         self.stopped = True
 
-    def resting(self) -> Wire:
-        """Connect as a client does that says nothing yet."""
+    def idle_client(self) -> Wire:
+        """Connect as a client that sends nothing yet."""
         return Wire(self.reactor, self.relay.door.buildProtocol(None))
 
     def client(self, number: int, wait: int = 3000, more: bytes = b"") -> Wire:
-        made = self.resting()
-        made.receive(b"OPEN %x 7f3a c=browse,d=%d,g=5c0f%s\r\n" % (number, wait, more))
-        return made
+        """Connect as a client and send a request with id ``number`` that waits ``wait`` ms."""
+        wire = self.idle_client()
+        wire.receive(b"OPEN %x 7f3a c=browse,d=%d,g=5c0f%s\r\n" % (number, wait, more))
+        return wire
 
     def attempts(self) -> list[Any]:
-        """Return the attempts at application servers; probes and discovery are dialled on the same reactor."""
+        """Return the connects of attempts; probes and discovery connect through the same reactor."""
         return [
-            each
-            for each in self.reactor.dialled
-            if isinstance(each.factory, _Dial) and isinstance(each.factory.link.owner, LineAttempt)
+            dialled
+            for dialled in self.reactor.dialled
+            if isinstance(dialled.factory, _Dial) and isinstance(dialled.factory.link.owner, LineAttempt)
         ]
 
     def probes(self) -> list[Any]:
+        """Return the connects of health probes."""
         return [
-            each
-            for each in self.reactor.dialled
-            if isinstance(each.factory, _Dial) and isinstance(each.factory.link.owner, HealthProbe)
+            dialled
+            for dialled in self.reactor.dialled
+            if isinstance(dialled.factory, _Dial) and isinstance(dialled.factory.link.owner, HealthProbe)
         ]
 
     def results(self) -> list[str]:
-        """Return how the module was told that attempts ended."""
+        """Return the results of attempts, as posted to the module."""
         return [event.result.value for event in self.seen if isinstance(event, api.Outcome)]
 
     def run(self, seconds: float) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -171,13 +171,13 @@
             bench.act(api.Probe("a"))
             server = bench.wires()[0] if bench.wires() else bench.reactor.dialled[0].up(bench.reactor)
             server.receive(b"PONG " + line + b"\r\n")
-            return bench.module.of(api.ProbeResult)[-1].report
+            return bench.module.events_of(api.ProbeResult)[-1].report
         client, server, _ = stand(bench)
         server.receive(b"BYE " + line + b"\r\n")
         client.flush()
         server.flush()
         bench.reactor.advance(1)
-        return bench.module.of(api.Outcome)[-1].report
+        return bench.module.events_of(api.Outcome)[-1].report
 
     missing = words in ("", "eps=0,inflight=7")
     for number in range(GOOD_VALUES_TO_RECOVER + 2 if missing else 3):
@@ -208,12 +208,12 @@
         server.receive(b"LOAD 812.5\r\n")
     server.receive(b"LOAD %s\r\n" % odd.encode())
     server.receive(b"LOAD %s\r\n" % odd.encode())
-    notes = [each.amount for each in bench.module.of(api.Note)]
+    notes = [each.amount for each in bench.module.events_of(api.Note)]
     assert notes == ([] if first else [812.5])
     assert bench.driver.load_lines.loads.get(name) == (None if first else 812.5)
     assert caplog.text.count("LOAD lines with an impossible value, not taken: a (") == 1
     server.receive(b"LOAD 900\r\n")
-    assert [each.amount for each in bench.module.of(api.Note)][-1] == 900
+    assert [each.amount for each in bench.module.events_of(api.Note)][-1] == 900
 
 
 @pytest.mark.parametrize(
--- a/tests/test_carry_model.py
+++ b/tests/test_carry_model.py
@@ -32,7 +32,7 @@
 def stand(bench: Bench) -> tuple[Wire, Wire]:
     client = bench.client()
     client.receive(FIRST)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
     server.receive(b"UP 1\r\n")
@@ -99,7 +99,7 @@
         carrier.taken(handle)
         assert self.client.handle.closed and self.server.handle.closed and not self.client.fin_sent
         self.nothing_is_left_of_it(self.bench)
-        told = new.module.of(api.OpenConnection)[0]
+        told = new.module.events_of(api.OpenConnection)[0]
         assert (told.server, told.key, told.group, told.inherited) == ("a", "7f3a", "5c0f", True)
         assert new.client_context.open_ids == {"9b1f"} and new.admission.active == 1 and not new.admission.silent
         self.before_client += self.client.sent
@@ -111,7 +111,7 @@
     def nothing_is_left_of_it(self, bench: Bench) -> None:
         assert not bench.driver.transactions and not bench.client_context.open_ids
         assert bench.admission.active == 0 == bench.pool.in_use and not bench.admission.silent
-        gone, ended = bench.module.of(api.ClientGone), bench.module.of(api.Outcome)
+        gone, ended = bench.module.events_of(api.ClientGone), bench.module.events_of(api.Outcome)
         assert len(ended) == 1 and ended[0].last and ended[0].result is api.Result.CANCELLED
         assert [each.request for each in gone] == [ended[0].request] or self.over
 
@@ -172,7 +172,7 @@
     for number in range(AT_ONCE + 2):
         client = bench.client()
         client.receive(FIRST.replace(b"9b1f", b"%x" % number))
-        bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+        bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
         server = bench.reactor.dialled[-1].up(bench.reactor)
         server.flush()
         server.receive(b"UP 1\r\n")
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -121,7 +121,7 @@
 
 def sent_on(bench: Bench) -> bytes:
     """Have the request sent, and return the line that its server gets."""
-    for asked in bench.module.of(api.Request):
+    for asked in bench.module.events_of(api.Request):
         bench.act(api.Send(asked.request, "a", 0))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
@@ -144,7 +144,7 @@
         told = got[len(head) + 3 :].split(b",", 1)[0].strip()
         assert 1 <= int(told) <= 2000 and got == line.replace(b"d=2000", b"d=" + told) + b"\r\n", f"cut at {cut}"
         assert head in got and tail.partition(b",")[2] in got
-        asked = bench.module.of(api.Request)
+        asked = bench.module.events_of(api.Request)
         assert [each.returning for each in asked] == [b"again=1" in line] * (b"at=" not in line)
 
 
@@ -154,7 +154,7 @@
         bench = Bench()
         client = bench.client()
         client.receive(OPENS[0] + b"\r\n")
-        bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
+        bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
         server = bench.reactor.dialled[0].up(bench.reactor)
         server.flush()
         server.receive(said[:cut])
@@ -249,7 +249,7 @@
     for term in (None, 0.0, wait / 2, max(0.0, wait - 2 * STEP)):
         for slow in (0.0, 2.0):
             one = OneRelay(tmp_path, servers, settings)
-            client = one.resting()
+            client = one.idle_client()
             client.receive(b"OPEN 1 7f3a c=browse,")
             play(one, act, one.reactor.seconds() + slow)
             client.receive(b"d=%d,g=5c0f%s\r\n" % (wait * 1000, more))
@@ -304,7 +304,7 @@
     bench = Bench()
     client = bench.client()
     client.receive(OPENS[0] + b"\r\n")
-    bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
     client.receive(b"x" * MAX_LINE_BYTES)
     assert client.lines() == [b"ERR"] and client.fin_due and not client.aborted
     assert bench.reactor.dialled[0].over and not bench.driver.transactions
@@ -320,11 +320,11 @@
         each.unread = b"OPEN %x k c=browse,d=2000\r\n" % number
     writes.unread = b"OPEN ff k c=bro"
     for _ in range(9):
-        bench.knock()
+        bench.connect()
         bench.reactor.advance(0)
     assert silent.lost and silent.sent == b""
     asked = [each for each in clients if each.link.has_request and not each.lines()]
-    assert asks in asked and len(bench.module.of(api.Request)) == len(asked) == 4, "all that there is room for"
+    assert asks in asked and len(bench.module.events_of(api.Request)) == len(asked) == 4, "all that there is room for"
     for each in others:
         assert each in asked or each.lines() == [b"BUSY"], "shut unread"
     assert 2 * len(asked) <= 8
@@ -337,7 +337,7 @@
     clients = [bench.client() for _ in range(40)]
     for number, each in enumerate(clients):
         each.receive(b"OPEN %x k c=browse,d=2000\r\n" % number)
-        for asked in bench.module.of(api.Request)[len(bench.reactor.dialled) :]:
+        for asked in bench.module.events_of(api.Request)[len(bench.reactor.dialled) :]:
             bench.act(api.Send(asked.request, "a", 0))
     held = sum(not each.lost for each in clients) + len(bench.reactor.dialled)
     assert held <= 40 + RESERVED_FOR_CLOSING and len(bench.reactor.dialled) >= 20 - RESERVED_FOR_CLOSING
@@ -354,13 +354,13 @@
     act = serve if served else up
     play(one, act, one.reactor.seconds() + 1)
     clients, came = [one.client(1, int(longest * 1000))], 1
-    resting = [one.resting() for _ in range(23)]
+    resting = [one.idle_client() for _ in range(23)]
     one.relay.drain()
     told = one.reactor.seconds()
     while not one.stopped:
         assert one.reactor.seconds() < told + min(longest, 3.0) + 0.7, "still there at the kill"
         if not one.port.closed:  # the system takes it, and its line comes a moment later
-            resting.append(one.resting())
+            resting.append(one.idle_client())
         if len(resting) > 4:
             came += 1
             clients.append(resting.pop(0))
@@ -426,7 +426,7 @@
     one = OneRelay(folder, 1, site())
     one.run(5)  # it serves
     one.path.write_text(json.dumps(one.written | {"discovery": "127.0.0.9:10"}))
-    resting, half, held = one.resting(), one.resting(), one.client(1, 400, b",at=nowhere")
+    resting, half, held = one.idle_client(), one.idle_client(), one.client(1, 400, b",at=nowhere")
     half.receive(b"OPEN 2 7f3a c=browse,d=20")
     clients = [resting, half, held]
     for step in range(300):
--- a/tests/test_handover_model.py
+++ b/tests/test_handover_model.py
@@ -150,10 +150,10 @@
             # Guards against a class that only one version knows: each event of it would fail.
             known = {handle: each for handle, each in self.here.items() if each.request_class == 0}
             assert self.inherited.held == known and self.may[-1] == self.free
-        opened = [e.request for e in self.new.module.of(api.OpenConnection)]
-        ended = [e.request for e in self.new.module.of(api.Outcome)]
+        opened = [e.request for e in self.new.module.events_of(api.OpenConnection)]
+        ended = [e.request for e in self.new.module.events_of(api.Outcome)]
         assert len(opened) - len(ended) == len(self.inherited.held)
-        gone = [e.request for e in self.new.module.of(api.ClientGone)]
+        gone = [e.request for e in self.new.module.events_of(api.ClientGone)]
         assert gone == ended, "a server would count as one that sends its clients away"
 
     def teardown(self) -> None:
--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -58,7 +58,7 @@
         return self.bench.driver.now()
 
     def events(self, kind: type) -> list:
-        return self.bench.module.of(kind)
+        return self.bench.module.events_of(kind)
 
     def handle(self) -> str:
         return self.events(api.Request)[0].request
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -34,7 +34,7 @@
 def stand(bench: Bench, line: bytes = OPEN) -> tuple[Wire, Wire, str]:
     client = bench.client()
     client.receive(line)
-    name = bench.module.of(api.Request)[-1].request
+    name = bench.module.events_of(api.Request)[-1].request
     bench.act(api.Send(name, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
@@ -183,7 +183,7 @@
     line = (OPEN[:-2] + b",x=").ljust(size, b"y")
     client.receive(line[: MAX_LINE_BYTES - 2])
     client.receive(line[MAX_LINE_BYTES - 2 :] + b"\r\n")
-    assert len(bench.module.of(api.Request)) == (size == MAX_LINE_BYTES - 2)
+    assert len(bench.module.events_of(api.Request)) == (size == MAX_LINE_BYTES - 2)
     assert client.lines() == ([] if size == MAX_LINE_BYTES - 2 else [b"ERR"])
     assert bench.pool.in_use == 0
 
@@ -193,22 +193,22 @@
     for timeout in (100 * MS, 0):
         bench = Bench()
         bench.client().receive(OPEN)
-        bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", timeout))
+        bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", timeout))
         bench.reactor.advance(0.26)
-        assert [o.result for o in bench.module.of(api.Outcome)] == [api.Result.CONNECT_FAILED]
+        assert [o.result for o in bench.module.events_of(api.Outcome)] == [api.Result.CONNECT_FAILED]
 
 
 def test_a_late_up_does_not_reach_the_client():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
-    bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 90 * MS))
+    bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 90 * MS))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
     bench.reactor.advance(0.1)
     server.link.dataReceived(b"UP 1\r\n")
-    assert client.lines() == [] and not bench.module.of(api.Established)
-    assert bench.module.of(api.Outcome)[0].result is api.Result.TIMEOUT
+    assert client.lines() == [] and not bench.module.events_of(api.Established)
+    assert bench.module.events_of(api.Outcome)[0].result is api.Result.TIMEOUT
 
 
 def test_move_stands_between_two_lines():
@@ -221,7 +221,7 @@
     server.flush()
     bench.reactor.advance(1)
     bench.reactor.advance(0)
-    assert bench.module.of(api.Outcome)[0].result is api.Result.CANCELLED
+    assert bench.module.events_of(api.Outcome)[0].result is api.Result.CANCELLED
 
 
 def test_a_silent_connection_is_told_and_broken_off_within_7_seconds():
@@ -232,10 +232,10 @@
     client.receive(b"M 1\r\n")
     for _ in range(65):
         bench.reactor.advance(0.1)
-    told = [note.amount for note in bench.module.of(api.Note)]
+    told = [note.amount for note in bench.module.events_of(api.Note)]
     assert told[0] < 500 and told == sorted(told) and 4 <= len(told) <= 7
     bench.reactor.advance(0)
-    assert server.lost and client.fin_due and bench.module.of(api.Outcome)[0].result is api.Result.RESET
+    assert server.lost and client.fin_due and bench.module.events_of(api.Outcome)[0].result is api.Result.RESET
 
 
 def test_one_silent_connection_is_no_server_that_hangs():
@@ -249,7 +249,7 @@
         bench.reactor.advance(0.1)
         other.receive(b"M 2\r\n")
         answering.receive(b"M 2\r\n")
-    told = bench.module.of(api.Note)
+    told = bench.module.events_of(api.Note)
     assert [(note.request, note.kind) for note in told] == [(name, api.NoteKind.SILENT)]
     assert told[0].amount >= 1000
 
@@ -264,7 +264,7 @@
         server.receive(b"M 1\r\n")
         bench.reactor.advance(0.5)
     bench.reactor.advance(30)
-    assert not server.lost and not bench.module.of(api.Note)
+    assert not server.lost and not bench.module.events_of(api.Note)
 
 
 def test_a_slow_reader_pauses_the_other_side_and_is_reset_in_the_end():
@@ -311,7 +311,7 @@
     assert client.lines() == told and client.fin_sent
     bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
-    assert client.lost and bench.pool.in_use == 0 and not bench.module.of(api.Request)
+    assert client.lost and bench.pool.in_use == 0 and not bench.module.events_of(api.Request)
 
 
 def test_a_front_that_goes_on_asking_stays_and_a_flood_does_not():
@@ -332,13 +332,17 @@
     client, server, name = stand(bench)
     thief = bench.client()
     thief.receive(OPEN)
-    assert thief.lines() == [b"ERR"] and len(bench.module.of(api.Request)) == 1
+    assert thief.lines() == [b"ERR"] and len(bench.module.events_of(api.Request)) == 1
     client.receive(b"M 1\r\n")
     assert server.lines()[-1] == b"M 1" and not client.fin_due
     bench.act(api.Move(name))
     again = bench.client()
     again.receive(OPEN)
-    assert again.lines() == [] and len(bench.module.of(api.Request)) == 2 and len(bench.client_context.open_ids) == 1
+    assert (
+        again.lines() == []
+        and len(bench.module.events_of(api.Request)) == 2
+        and len(bench.client_context.open_ids) == 1
+    )
 
 
 def test_a_flood_before_the_answer_is_turned_away():
@@ -346,7 +350,7 @@
     client = bench.client()
     client.receive(OPEN + b"M 1\r\n" * 300)
     assert client.lines() == [b"ERR"] and client.fin_due
-    assert [e.request for e in bench.module.of(api.ClientGone)] == ["t1"] and not bench.driver.transactions
+    assert [e.request for e in bench.module.events_of(api.ClientGone)] == ["t1"] and not bench.driver.transactions
 
 
 def test_a_peer_that_sends_on_after_its_answer_is_not_read_for_ever():
@@ -394,7 +398,7 @@
     client.receive(OPEN.replace(b"\r\n", told + b"\r\n"))
     assert bool(bench.driver.transactions) is taken, client.lines()
     if taken:
-        assert [e.tenant for e in bench.module.of(api.Request)] == [0]
+        assert [e.tenant for e in bench.module.events_of(api.Request)] == [0]
     else:
         assert client.lines() == [b"ERR"]
 
@@ -424,7 +428,7 @@
     client = bench.client()
     client.receive(OPEN + b"M 1\r\nM 2\r\n")
     assert not client.paused, "behind them stands the client's end"
-    bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
     server.receive(b"UP 1\r\n")
@@ -467,8 +471,8 @@
         if not bench.wires():
             bench.reactor.dialled[0].up(bench.reactor)
         bench.wires()[0].receive(line)
-        assert bench.module.of(api.ProbeResult)[-1].result is result
-    assert bench.module.of(api.ProbeResult)[0].report == (0.0, 3.0, 0.5)
+        assert bench.module.events_of(api.ProbeResult)[-1].result is result
+    assert bench.module.events_of(api.ProbeResult)[0].report == (0.0, 3.0, 0.5)
     assert len(bench.reactor.dialled) == 1 and bench.wires()[0].lines() == [b"STATS"] * 3
     bench.reactor.advance(5)
     bench.reactor.advance(0)
@@ -485,10 +489,10 @@
     bench.reactor.dialled[1].fail()
     bench.act(api.Probe("a"))
     bench.reactor.dialled[2].up(bench.reactor).lose(error.ConnectionLost())
-    results = [probe.result for probe in bench.module.of(api.ProbeResult)]
+    results = [probe.result for probe in bench.module.events_of(api.ProbeResult)]
     assert results == [api.Result.TIMEOUT, api.Result.CONNECT_FAILED, api.Result.RESET]
     bench.act(api.Probe("unknown"))
-    assert bench.module.of(api.ProbeResult)[-1].result is api.Result.CONNECT_FAILED
+    assert bench.module.events_of(api.ProbeResult)[-1].result is api.Result.CONNECT_FAILED
 
 
 def test_an_exception_of_one_link_is_not_swallowed_here():
@@ -568,7 +572,7 @@
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + early)
-    name = bench.module.of(api.Request)[-1].request
+    name = bench.module.events_of(api.Request)[-1].request
     if stage != "held":
         bench.act(api.Send(name, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor) if stage == "sending" else None
@@ -582,7 +586,7 @@
     assert all(each.over for each in bench.reactor.dialled)
     bench.act(api.Send(name, "b", 0))
     assert len(bench.reactor.dialled) == (stage != "held"), "a further attempt"
-    results = [event.result for event in bench.module.of(api.Outcome) if event.result is not api.Result.NOT_SENT]
+    results = [event.result for event in bench.module.events_of(api.Outcome) if event.result is not api.Result.NOT_SENT]
     assert results == ([] if stage == "held" else [api.Result.CANCELLED]), "no fault of the server's"
     assert not bench.driver.transactions and not bench.client_context.open_ids
 
@@ -591,7 +595,7 @@
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
     for _ in range(MAX_EARLY_LINES):
         client.receive(b"M 1\r\n")
     assert client.lines() == [] and not bench.reactor.dialled[0].over
@@ -604,12 +608,12 @@
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
     server.flush()
     client.peer_ends()
-    assert not server.aborted and len(bench.module.of(api.ClientGone)) == 1
+    assert not server.aborted and len(bench.module.events_of(api.ClientGone)) == 1
 
 
 def test_probes_of_hundreds_of_servers_leave_the_descriptors_to_clients():
@@ -622,7 +626,7 @@
     held = [wire for wire in bench.wires() if not wire.lost]
     assert len(held) == bench.probes.held() <= RESERVED_FOR_PROBES + (256 - RESERVED_DESCRIPTORS) // 2
     clients = 0
-    while (client := bench.knock()) is not None:
+    while (client := bench.connect()) is not None:
         clients += 1
         client.receive(OPEN.replace(b"9b1f", b"%x" % clients))
         held = [wire for wire in bench.reactor.up if not wire.lost and not wire.closing]
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -21,7 +21,7 @@
     """Have a client ask and stand."""
     client = bench.client()
     client.receive(b"OPEN a%d 7f3a c=browse,d=800\r\n" % number)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
     server.receive(b"UP 1\r\n")
@@ -93,7 +93,7 @@
             assert moved == len(self.clients) and not self.bench.driver.standing(), "not moved in time"
         self.moved = moved
         # Guards against servers taken for draining because this relay moved its clients.
-        assert len(self.bench.module.of(api.ClientGone)) == moved
+        assert len(self.bench.module.events_of(api.ClientGone)) == moved
 
     def teardown(self) -> None:
         """Nothing is left of a drain that was ended."""
