--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -1,4 +1,4 @@
-"""A model of one request's states, against which random steps of both sides and the module are checked."""
+"""A stateful model of one request, checked against random steps of both sides and the decision module."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class OneRequest(RuleBasedStateMachine):
-    """The client asks, the module sends, the server answers; any of them may do anything at any moment."""
+    """The client, the module and the server of one request; each may take any step at any time."""
 
     reached: ClassVar[Counter[str]] = Counter()
 
@@ -46,9 +46,9 @@
         self.client_left = False
         self.asked_at = 0
         self.sends = 0
-        self.told: dict[int, api.Result] = {}  # what the model expects of each pass that has ended
+        self.told: dict[int, api.Result] = {}  # by attempt number, the expected result
         self.stood = False
-        self.over = False  # nothing more may be answered
+        self.over = False  # no further answer may be given
         self.moved = False
         self.early: list[bytes] = []
         self.to_server: list[bytes] = []
@@ -64,7 +64,7 @@
         return self.events(api.Request)[0].request
 
     def current(self) -> Wire | None:
-        """Return the connection of the pass that is out, if it stands."""
+        """Return the server's connection of the current attempt, if it is up."""
         wires = [w for w in self.bench.wires() if not w.lost and not w.closing]
         return wires[0] if wires else None
 
@@ -83,7 +83,7 @@
 
     @initialize(cut=st.integers(0, len(OPEN)), far=st.integers(0, 6))
     def begin(self, cut: int, far: int) -> None:
-        """Start at any stage: random steps alone seldom come that far."""
+        """Start at any stage; random steps alone rarely reach the later ones."""
         self.client_asks(cut)
         if far > 0:
             self.module_sends(0, "a")
@@ -115,7 +115,7 @@
     @rule(broke=st.booleans(), now=st.integers(0, 7), part=st.booleans())
     def client_leaves(self, broke: bool, now: int = 0, part: bool = False) -> None:
         if now:
-            return  # most steps lead further than to the end
+            return  # leave only in one of eight cases, so that most runs go on
         if part and not self.client.paused:
             self.client.receive(b"half a li")
         if self.client.lost or self.client.closing or self.client.fin_due:
@@ -129,7 +129,7 @@
             if self.stood:
                 self.told[self.sends - 1] = api.Result.CANCELLED
                 if not broke:
-                    return  # what the server still says passes
+                    return  # lines of the server still pass
             else:
                 assert [e.request for e in self.events(api.ClientGone)] == [self.handle()]
         self.over = True
@@ -223,7 +223,7 @@
         if word == b"LOAD":
             assert self.events(api.Note)[notes:][0].amount == 12.5
         elif word == b"UP" and self.over:
-            # Guards against a connection that stands for a client that has left.
+            # No connection may be established for a client that has left.
             assert self.client.lines() == before
             self.told.setdefault(self.sends - 1, api.Result.CANCELLED)
         elif word == b"UP":
@@ -260,7 +260,7 @@
         if part and wire.sent:
             wire.receive(b"half a li")
         ran = bool(wire.sent)
-        # A line that is not out when its server ends never is: what was told as never sent must not arrive.
+        # A line that is unsent when its server ends is never sent: an attempt reported as not sent must not arrive.
         if broke:
             wire.lose(error.ConnectionLost())
         else:
@@ -271,7 +271,7 @@
             self.told[self.sends - 1] = api.Result.RESET if ran else api.Result.CONNECT_FAILED
         self.settle()
         if self.stood and not self.over:
-            assert self.client.lost or not broke and self.client.fin_sent, "not ended the same way"
+            assert self.client.lost or not broke and self.client.fin_sent, "the two sides ended in different ways"
             self.over = True
 
     # Time
@@ -289,14 +289,14 @@
         due = self.asked_at + WAIT_MS * 1_000_000 + DEADLINE_SLACK_NS
         if self.client is not None and not self.stood and self.now() >= due:
             if not self.over:
-                assert self.client.lines()[-1] == b"ERR", "an answer is owed"
+                assert self.client.lines()[-1] == b"ERR", "no answer at the deadline"
             self.over = True
 
     @rule()
     def everything_is_written(self) -> None:
         self.settle()
 
-    # What always holds
+    # Invariants
 
     @invariant()
     def one_answer_and_one_attempt(self) -> None:
@@ -340,7 +340,7 @@
             assert sent == self.to_server[: len(sent)]
 
     def teardown(self) -> None:
-        """Nothing is left of a request that is over: no socket, buffer, timer or entry."""
+        """Check that nothing is left of the finished request: no socket, buffer, timer or entry."""
         if self.client is not None:
             if not self.client_left:
                 self.client_leaves(True)
@@ -348,7 +348,7 @@
             self.bench.act(api.Cancel(self.handle(), self.sends - 1))
         for dialled in self.bench.reactor.dialled:
             dialled.fail()
-        for _ in range(10):  # enough for peers that don't close; less than a forgotten timer of a wait
+        for _ in range(10):  # long enough for the close timeout; shorter than a forgotten timer of an attempt
             self.settle()
             self.bench.reactor.advance(0.1)
         for outcome in self.events(api.Outcome):
@@ -361,7 +361,7 @@
 
 
 def test_the_random_steps_reach_every_state():
-    # Guards against a model that proves nothing, as its steps end before anything has begun.
+    # The model would prove nothing if its runs ended before a connection is established.
     run_state_machine_as_test(OneRequest, settings=settings(max_examples=300, stateful_step_count=30))
     assert OneRequest.reached["stood"] >= 50
     assert len(OneRequest.reached) >= 6, OneRequest.reached
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the relay one by one: one failure found, or one trap of the protocol, one test."""
+"""Tests of single parts of the relay, each for one failure or one pitfall of the protocol."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     line = b"OPEN 9b1f 7f3a c=x,d=2000,g=5c,dd=7,h=1.5"
     read = wording.read_open(line)
     assert read.with_wait(1234 * MS) == line.replace(b"d=2000", b"d=1234")
-    assert read.with_wait(1).partition(b"d=")[2].startswith(b"1,"), "a wait of no time would be no number"
+    assert read.with_wait(1).partition(b"d=")[2].startswith(b"1,"), "a wait below 1 ms must not become 0"
 
 
 @pytest.mark.parametrize(
@@ -87,19 +87,19 @@
         ),
     ],
 )
-def test_a_line_in_another_form_is_no_request(line):
+def test_a_malformed_first_line_is_rejected(line):
     assert wording.read_open(line) is None
 
 
-def test_reports_are_read_by_the_words_of_the_sockets_in_the_order_of_the_settings():
+def test_reports_are_parsed_by_wire_names_in_the_order_of_the_settings():
     read = wording.report_reader(("fail_rate", "rif", "x0"))
     assert read(b"PONG inflight=7,x0=0.61,eps=0.5,new=1") == (0.5, 7.0, 0.61)
-    # Guards against a report that lacks a value being taken for an idle server.
+    # A report that lacks a value must not make its server look idle.
     assert read(b"PONG inflight=7,eps=0.5") == () and read(b"BYE") == ()
 
 
 def test_an_unchanged_start_is_the_same_moment_in_every_list():
-    # Guards against a server that seems to have restarted since the clocks were read again.
+    # A server would seem to have restarted if its start changed with each reading of the clocks.
     calendar = Calendar((5_000 - 1_000_000) * MS)
     listed = Roster(endpoints=(Endpoint("s", since_ms=996_000),))
     told = [Catalog(("z",), calendar).read(listed, 1000.0 + i)[0] for i in range(2)]
@@ -107,8 +107,8 @@
     assert calendar.moment(0) == 0 and calendar.moment(1) == 0
 
 
-def test_slow_messages_are_news_once_a_second_and_once_more_when_over():
-    # Guards against a note for every message, which the module was never tuned for.
+def test_slow_messages_are_reported_once_a_second_and_once_more_when_over():
+    # The module is not tuned for a note on every message.
     now = [0]
     delays = Delays((60 * MS, 90 * MS, 0), lambda: now[0])
     assert [delays.should_report("s", took * MS) for took in (19, 21, 99)] == [False, True, False]
@@ -122,8 +122,8 @@
     return LoadLines(16.0, lambda: now[0]), now
 
 
-def test_times_on_load_lines_are_no_loads():
-    # Guards against a crowded server that looks idle: 364 ms read as a load of 364 us a second.
+def test_delays_on_load_lines_are_not_taken_for_loads():
+    # A delay of 364 ms read as a load of 364 us a second makes a crowded server look idle.
     lines, now = load_lines()
     told = []
     for at, amount in ((0, 60_000.0), (500, 364.3), (1500, 277.7), (2500, 3.8), (3100, 55_000.0)):
@@ -135,8 +135,8 @@
     assert lines.settle() == []
 
 
-def test_the_times_of_a_server_that_hangs_are_told_apart_from_loads_as_large():
-    # Guards against a hang that the module never hears of: 14,350 ms read as a load of 14,350 us a second.
+def test_delays_of_a_hanging_server_are_distinguished_from_equally_large_loads():
+    # The module never hears of a hang if 14,350 ms are read as a load of 14,350 us a second.
     lines, now = load_lines()
     told = []
     for at, name, amount in (
@@ -154,7 +154,7 @@
     assert told == [False, False, False, False, False, True, False, True]
 
 
-def test_a_load_that_falls_far_is_told_once_no_second_time_came():
+def test_a_load_that_falls_far_is_reported_when_no_second_delay_follows():
     lines, now = load_lines()
     lines.read("s", "c", 60_000.0)
     now[0] = 700 * MS
@@ -168,7 +168,7 @@
     assert not lines.loads
 
 
-def test_buffers_are_of_one_size_and_used_again():
+def test_buffers_have_one_size_and_are_reused():
     pool = BufferPool(max_free=1)
     first, second = pool.take(), pool.take()
     pool.give_back(first)
@@ -188,8 +188,8 @@
     assert bench.pool.in_use == 0
 
 
-def test_a_connect_that_does_not_come_up_never_ran():
-    # Guards against a time out of a connect told as one that may have run.
+def test_a_connect_that_times_out_is_a_failed_connect():
+    # Reported as a timeout, the request would count as one that may have run.
     for timeout in (100 * MS, 0):
         bench = Bench()
         bench.client().receive(OPEN)
@@ -211,7 +211,7 @@
     assert bench.module.events_of(api.Outcome)[0].result is api.Result.TIMEOUT
 
 
-def test_move_stands_between_two_lines():
+def test_move_is_sent_between_two_lines():
     bench = Bench()
     client, server, name = stand(bench)
     server.receive(b"M 1 half a li")
@@ -224,8 +224,8 @@
     assert bench.module.events_of(api.Outcome)[0].result is api.Result.CANCELLED
 
 
-def test_a_silent_connection_is_told_and_broken_off_within_7_seconds():
-    # Guards against clients left on a server that hangs or was cut off: TCP tells nothing of it.
+def test_a_silent_connection_is_reported_and_closed_within_7_seconds():
+    # TCP does not report a server that hangs or was cut off; its clients would stay there.
     bench = Bench()
     bench.driver.look_round()
     client, server, _ = stand(bench)
@@ -238,8 +238,8 @@
     assert server.lost and client.fin_due and bench.module.events_of(api.Outcome)[0].result is api.Result.RESET
 
 
-def test_one_silent_connection_is_no_server_that_hangs():
-    # Guards against a stream that stopped short being told as a hang of its server, which answers the others.
+def test_one_silent_connection_is_not_reported_as_a_hanging_server():
+    # The server still answers its other connections, so a stream that stopped is reported as silent, not as a delay.
     bench = Bench()
     bench.driver.look_round()
     silent, server, name = stand(bench)
@@ -254,7 +254,7 @@
     assert told[0].amount >= 1000
 
 
-def test_a_connection_that_answers_is_never_broken_off():
+def test_a_connection_that_answers_is_never_closed_as_silent():
     bench = Bench()
     bench.driver.look_round()
     client, server, _ = stand(bench)
@@ -267,8 +267,8 @@
     assert not server.lost and not bench.module.events_of(api.Note)
 
 
-def test_a_slow_reader_pauses_the_other_side_and_is_reset_in_the_end():
-    # Guards against all that a server sends piling up for a client that reads nothing.
+def test_a_slow_reader_pauses_the_other_side_and_is_finally_reset():
+    # Otherwise all that a server sends piles up in memory for a client that reads nothing.
     bench = Bench()
     client, server, _ = stand(bench)
     client.producer.pauseProducing()
@@ -285,7 +285,7 @@
     assert server.lost and not bench.driver.transactions
 
 
-def test_a_peer_that_does_not_close_is_reset_soon():
+def test_a_peer_that_does_not_close_is_reset_after_the_close_timeout():
     bench = Bench()
     client, server, name = stand(bench)
     bench.act(api.Move(name))
@@ -297,8 +297,8 @@
 
 
 @pytest.mark.parametrize("says", [b"", b"OPEN 9b1f 7f3a c=browse,d=8", b"PING\r\n", b"PING\r\nOP"])
-def test_a_client_that_never_asks_is_let_go(says):
-    # Guards against silent clients, trickles and idle checks that hold a descriptor for up to a minute.
+def test_a_client_that_never_sends_a_request_is_closed(says):
+    # Silent clients, trickling ones and idle health checks would hold a descriptor for up to a minute.
     bench = Bench()
     client = bench.client()
     for byte in says:
@@ -306,7 +306,7 @@
         bench.reactor.advance(0.01)
     bench.reactor.advance(2.9 - len(says) / 100)
     client.flush()
-    # Whoever has begun a line, or never pinged, hears of its end: its request may be on its way.
+    # A client that has begun a line, or never sent PING, is answered, as its request may be in transit.
     told = [b"PONG"] * says.startswith(b"PING") + [b"ERR"] * (says != b"PING\r\n")
     assert client.lines() == told and client.fin_sent
     bench.reactor.advance(CLOSE_TIMEOUT_S)
@@ -314,7 +314,7 @@
     assert client.lost and bench.pool.in_use == 0 and not bench.module.events_of(api.Request)
 
 
-def test_a_front_that_goes_on_asking_stays_and_a_flood_does_not():
+def test_a_front_that_keeps_pinging_stays_connected_and_a_flood_does_not():
     bench = Bench()
     front = bench.client()
     for _ in range(60):
@@ -326,8 +326,8 @@
     assert flood.lines()[-1] == b"ERR" and len(flood.lines()) < 60 and flood.fin_due
 
 
-def test_the_id_of_an_open_request_is_no_one_elses():
-    # Guards against a server that turns the copy away, which then speaks against that server.
+def test_a_second_request_with_the_id_of_an_open_one_is_rejected():
+    # Sent on, the copy would be rejected by its server, and the rejection would count against that server.
     bench = Bench()
     client, server, name = stand(bench)
     thief = bench.client()
@@ -345,7 +345,7 @@
     )
 
 
-def test_a_flood_before_the_answer_is_turned_away():
+def test_a_flood_before_the_answer_is_rejected():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + b"M 1\r\n" * 300)
@@ -353,8 +353,8 @@
     assert [e.request for e in bench.module.events_of(api.ClientGone)] == ["t1"] and not bench.driver.transactions
 
 
-def test_a_peer_that_sends_on_after_its_answer_is_not_read_for_ever():
-    # Guards against 60 MB that are read for nothing: the peer has its answer, and the socket takes no more.
+def test_a_peer_that_sends_on_after_its_answer_is_read_up_to_a_limit():
+    # Reading 60 MB from a peer that already has its answer is of no use.
     bench = Bench()
     client = bench.client()
     for _ in range(100):
@@ -380,7 +380,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "taken"),
+    ("parameter", "accepted"),
     [
         (b"", True),
         (b",t=acme", True),
@@ -392,18 +392,18 @@
         (b",t=Acme", False),
     ],
 )
-def test_a_tenant_is_told_by_its_name_in_the_settings_or_by_its_number(told, taken):
+def test_a_tenant_is_given_by_its_name_in_the_settings_or_by_its_number(parameter, accepted):
     bench = Bench()
     client = bench.client()
-    client.receive(OPEN.replace(b"\r\n", told + b"\r\n"))
-    assert bool(bench.driver.transactions) is taken, client.lines()
-    if taken:
+    client.receive(OPEN.replace(b"\r\n", parameter + b"\r\n"))
+    assert bool(bench.driver.transactions) is accepted, client.lines()
+    if accepted:
         assert [e.tenant for e in bench.module.events_of(api.Request)] == [0]
     else:
         assert client.lines() == [b"ERR"]
 
 
-def test_the_clients_turned_away_are_told_in_one_line(caplog):
+def test_clients_that_were_turned_away_are_logged_in_one_line(caplog):
     caplog.set_level("INFO")
     bench = Bench()
     for _ in range(40):
@@ -418,7 +418,7 @@
     ("stated", "soft", "most"),
     [(540, 4096, 540), (540, 256, 256), (0, 300, 300), (0, resource.RLIM_INFINITY, 1024), (0, 1 << 20, 1024)],
 )
-def test_the_descriptors_are_what_is_stated_and_allowed(monkeypatch, stated, soft, most):
+def test_the_descriptor_limit_is_the_lower_of_configured_and_allowed(monkeypatch, stated, soft, most):
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, soft))
     assert descriptor_limit(stated) == most
 
@@ -427,7 +427,7 @@
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + b"M 1\r\nM 2\r\n")
-    assert not client.paused, "behind them stands the client's end"
+    assert not client.paused, "the client's end may follow them"
     bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
@@ -443,7 +443,7 @@
 
 
 def test_a_failing_module_ends_nothing_but_its_event():
-    # Guards against one exception that takes the process and every connection on it along.
+    # One exception must not end the process and every connection on it.
     bench = Bench()
     client, server, _ = stand(bench)
 
@@ -454,7 +454,7 @@
     other = bench.client()
     other.receive(OPEN)
     bench.reactor.advance(0.9)
-    assert other.lines() == [b"ERR"], "an answer is owed all the same"
+    assert other.lines() == [b"ERR"], "the request was not answered"
     client.receive(b"M 1\r\n")
     assert server.lines()[-1] == b"M 1"
 
@@ -476,7 +476,7 @@
     assert len(bench.reactor.dialled) == 1 and bench.wires()[0].lines() == [b"STATS"] * 3
     bench.reactor.advance(5)
     bench.reactor.advance(0)
-    assert bench.wires()[0].lost and not bench.probes.probes, "kept beyond its use"
+    assert bench.wires()[0].lost and not bench.probes.probes, "an unused probe connection was kept"
 
 
 def test_a_probe_without_an_answer_has_its_result_and_a_late_answer_none():
@@ -496,7 +496,7 @@
 
 
 def test_an_exception_of_one_link_is_not_swallowed_here():
-    # Twisted closes the connection whose handler raised and goes on; nothing here may hide that from it.
+    # Twisted closes a connection whose handler raised and goes on; the exception must reach it.
     bench = Bench()
     link = LineLink(bench.reactor, bench.pool)
     Wire(bench.reactor, link)
@@ -510,7 +510,7 @@
 
 
 class Calls:
-    """Stands in for an HTTP client; answers come when the test gives them."""
+    """Replaces an HTTP client; the test provides the answers."""
 
     def __init__(self) -> None:
         self.out: list[tuple[str, Deferred[object]]] = []
@@ -536,8 +536,8 @@
     return made, told
 
 
-def test_a_farm_that_another_took_over_from_tells_nothing_more(monkeypatch):
-    # Guards against the old discovery's late answer, or its failure, reaching the module after the new list.
+def test_a_replaced_discovery_reports_nothing_more(monkeypatch):
+    # A late answer or failure of the old discovery must not reach the module after the new list.
     monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
     for late in (succeed, fail):
         watch, told = a_watch()
@@ -567,8 +567,8 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("stage", ["connecting", "sending", "held"])
 def test_no_attempt_begins_after_its_client_left(stage: str, how: str, early: bytes):
-    # Guards against a connect that comes up late, or a first line still queued, for a client that has gone; also where
-    # the settings allow no cancelling, and where lines that came too soon hid the client's end.
+    # A late connect or a queued first line must not go out for a client that has left; also if the settings forbid
+    # cancelling, and if early lines precede the client's end.
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + early)
@@ -582,16 +582,16 @@
     bench.reactor.advance(0)
     if server is not None:
         server.flush()
-        assert server.aborted and server.sent == b"", "sent on for nobody"
+        assert server.aborted and server.sent == b"", "sent although the client has left"
     assert all(each.over for each in bench.reactor.dialled)
     bench.act(api.Send(name, "b", 0))
     assert len(bench.reactor.dialled) == (stage != "held"), "a further attempt"
     results = [event.result for event in bench.module.events_of(api.Outcome) if event.result is not api.Result.NOT_SENT]
-    assert results == ([] if stage == "held" else [api.Result.CANCELLED]), "no fault of the server's"
+    assert results == ([] if stage == "held" else [api.Result.CANCELLED]), "counted against the server"
     assert not bench.driver.transactions and not bench.client_context.open_ids
 
 
-def test_more_lines_than_a_client_may_send_too_soon_end_its_request_and_its_attempt():
+def test_too_many_early_lines_end_the_request_and_its_attempt():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
@@ -604,7 +604,7 @@
     assert not bench.driver.transactions and bench.admission.turned_away["flooded"] == 1
 
 
-def test_an_attempt_that_was_written_is_the_modules_to_cancel():
+def test_a_written_attempt_is_cancelled_only_by_the_module():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
@@ -617,7 +617,7 @@
 
 
 def test_probes_of_hundreds_of_servers_leave_the_descriptors_to_clients():
-    # Guards against a probe connection kept to each of 1,024 servers: they were counted as a fixed few.
+    # Kept probe connections to 1,024 servers exceed the limit if only a fixed few are counted.
     bench = Bench()
     for number in range(1024):
         bench.probes.probe(f"s{number}", f"127.0.0.1:{number + 1}")
@@ -633,5 +633,5 @@
         assert RESERVED_DESCRIPTORS - RESERVED_FOR_PROBES + len(held) + clients <= 256 + RESERVED_FOR_CLOSING, (
             f"{clients} clients, each with its attempt"
         )
-    assert clients == (256 - RESERVED_DESCRIPTORS) // 2, "all that there is room for"
-    assert bench.probes.held() <= RESERVED_FOR_PROBES, "clients had to go for idle probes"
+    assert clients == (256 - RESERVED_DESCRIPTORS) // 2, "fewer or more clients than there is room for"
+    assert bench.probes.held() <= RESERVED_FOR_PROBES, "idle probes were kept at the cost of clients"
