--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 from netfakes import MS, Bench
-from test_net_parts import stand
+from test_net_parts import establish
 
 from scaledeal import interface as api
 from scaledeal.cli import checking
@@ -172,7 +172,7 @@
             server = bench.wires()[0] if bench.wires() else bench.reactor.dialled[0].up(bench.reactor)
             server.receive(b"PONG " + line + b"\r\n")
             return bench.module.events_of(api.ProbeResult)[-1].report
-        client, server, _ = stand(bench)
+        client, server, _ = establish(bench)
         server.receive(b"BYE " + line + b"\r\n")
         client.flush()
         server.flush()
@@ -203,7 +203,7 @@
 def test_a_load_line_that_cannot_be_leaves_the_connections_last_load(caplog, odd, first):
     # Guards against one line after which no sum of loads is a number any more: it passed for a load.
     bench = Bench()
-    _, server, name = stand(bench)
+    _, server, name = establish(bench)
     if not first:
         server.receive(b"LOAD 812.5\r\n")
     server.receive(b"LOAD %s\r\n" % odd.encode())
--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -46,8 +46,8 @@
         self.client_left = False
         self.asked_at = 0
         self.sends = 0
-        self.told: dict[int, api.Result] = {}  # by attempt number, the expected result
-        self.stood = False
+        self.expected: dict[int, api.Result] = {}  # by attempt number, the expected result
+        self.established = False
         self.over = False  # no further answer may be given
         self.moved = False
         self.early: list[bytes] = []
@@ -71,7 +71,7 @@
     def connecting(self) -> bool:
         return any(not d.over for d in self.bench.reactor.dialled)
 
-    def out(self) -> bool:
+    def attempt_open(self) -> bool:
         return self.sends > len(self.events(api.Outcome))
 
     def settle(self) -> None:
@@ -104,12 +104,12 @@
 
     @precondition(lambda self: self.client is not None and not self.client_left and not self.over)
     @rule(text=st.sampled_from([b"M 1", b"MOVE", b""]), split=st.booleans())
-    def client_speaks(self, text: bytes, split: bool) -> None:
-        if self.client.paused or not self.stood and len(self.early) == MAX_EARLY_LINES:
+    def client_sends_line(self, text: bytes, split: bool) -> None:
+        if self.client.paused or not self.established and len(self.early) == MAX_EARLY_LINES:
             return  # one more would be a flood: test_net_parts.py
         self.client.receive(text[:1] if split else b"")
         self.client.receive((text[1:] if split else text) + b"\r\n")
-        (self.to_server if self.stood else self.early).append(text)
+        (self.to_server if self.established else self.early).append(text)
 
     @precondition(lambda self: self.client is not None and not self.client_left)
     @rule(broke=st.booleans(), now=st.integers(0, 7), part=st.booleans())
@@ -126,8 +126,8 @@
         else:
             self.client.peer_ends()
         if not self.over:
-            if self.stood:
-                self.told[self.sends - 1] = api.Result.CANCELLED
+            if self.established:
+                self.expected[self.sends - 1] = api.Result.CANCELLED
                 if not broke:
                     return  # lines of the server still pass
             else:
@@ -136,17 +136,17 @@
 
     # The module
 
-    @precondition(lambda self: self.client is not None and not self.over and not self.out())
+    @precondition(lambda self: self.client is not None and not self.over and not self.attempt_open())
     @rule(timeout=st.sampled_from([0, 0, 90, 5000]), server=st.sampled_from(["a", "a", "b", "unknown"]))
     def module_sends(self, timeout: int, server: str) -> None:
         assert self.current() is None and not self.connecting(), "a second attempt beside the first"
         self.bench.act(api.Send(self.handle(), server, timeout * 1_000_000))
         if server == "unknown" or self.now() >= self.asked_at + WAIT_MS * 1_000_000:
             late = self.now() >= self.asked_at + WAIT_MS * 1_000_000
-            self.told[self.sends] = api.Result.NOT_SENT if late else api.Result.CONNECT_FAILED
+            self.expected[self.sends] = api.Result.NOT_SENT if late else api.Result.CONNECT_FAILED
         self.sends += 1
 
-    @precondition(lambda self: self.client is not None and not self.out())
+    @precondition(lambda self: self.client is not None and not self.attempt_open())
     @rule(wait=st.sampled_from([0, 1, 1_500_000]), fail=st.booleans(), now=st.integers(0, 7))
     def module_answers(self, wait: int, fail: bool, now: int) -> None:
         if now and not self.over:
@@ -154,41 +154,41 @@
         before = len(self.client.lines())
         self.bench.act(api.Fail(self.handle()) if fail else api.Refuse(self.handle(), wait))
         if not self.over:
-            told = b"ERR" if fail else {0: b"BUSY", 1: b"BUSY 1", 1_500_000: b"BUSY 2"}[wait]
-            assert self.client.lines()[before:] == [told]
+            expected_answer = b"ERR" if fail else {0: b"BUSY", 1: b"BUSY 1", 1_500_000: b"BUSY 2"}[wait]
+            assert self.client.lines()[before:] == [expected_answer]
         else:
             assert len(self.client.lines()) == before
         self.over = True
 
-    @precondition(lambda self: self.out())
+    @precondition(lambda self: self.attempt_open())
     @rule(off=st.integers(0, 3))
     def module_cancels(self, off: int) -> None:
-        waits = self.out() and not self.stood
+        waits = self.attempt_open() and not self.established
         self.bench.act(api.Cancel(self.handle(), self.sends - 1 - off))
         if waits and not off:
-            self.told.setdefault(self.sends - 1, api.Result.CANCELLED)
+            self.expected.setdefault(self.sends - 1, api.Result.CANCELLED)
         self.settle()
 
-    @precondition(lambda self: self.stood or self.over)
+    @precondition(lambda self: self.established or self.over)
     @rule(now=st.integers(0, 3))
     def module_moves(self, now: int) -> None:
         if now:
             return
-        may = self.stood and not self.over
+        may = self.established and not self.over
         self.bench.act(api.Move(self.handle()))
         if may:
-            self.told[self.sends - 1] = api.Result.CANCELLED
+            self.expected[self.sends - 1] = api.Result.CANCELLED
             self.over = self.moved = True
             self.to_client.append(b"MOVE")
 
     @precondition(lambda self: self.connecting())
     @rule(now=st.integers(0, 3))
-    def list_drains_the_server(self, now: int) -> None:
+    def discovery_drains_the_server(self, now: int) -> None:
         if now:
             return
         self.bench.list(api.ServerState.DRAINING, a="127.0.0.1:1", b="127.0.0.1:2")
         assert not self.connecting(), "a connect goes on to a server that drains"
-        self.told[self.sends - 1] = api.Result.CONNECT_FAILED
+        self.expected[self.sends - 1] = api.Result.CONNECT_FAILED
 
     # The application server
 
@@ -198,7 +198,7 @@
         dialled = next(d for d in self.bench.reactor.dialled if not d.over)
         if not up:
             dialled.fail()
-            self.told.setdefault(self.sends - 1, api.Result.CONNECT_FAILED)
+            self.expected.setdefault(self.sends - 1, api.Result.CONNECT_FAILED)
             return
         wire = dialled.up(self.bench.reactor)
         if write:
@@ -215,7 +215,7 @@
         wire = self.current()
         if not wire.sent:
             wire.flush()
-        if self.stood:
+        if self.established:
             return
         line = {b"UP": b"UP 77aa", b"LOAD": b"LOAD 12.5"}.get(word, word)
         notes, before = len(self.events(api.Note)), self.client.lines()
@@ -225,29 +225,29 @@
         elif word == b"UP" and self.over:
             # No connection may be established for a client that has left.
             assert self.client.lines() == before
-            self.told.setdefault(self.sends - 1, api.Result.CANCELLED)
+            self.expected.setdefault(self.sends - 1, api.Result.CANCELLED)
         elif word == b"UP":
-            self.stood = True
-            self.reached["stood"] += 1
+            self.established = True
+            self.reached["established"] += 1
             self.to_client.append(line)
             self.to_server += self.early
         else:
-            self.told.setdefault(self.sends - 1, BEFORE_UP[word])
+            self.expected.setdefault(self.sends - 1, BEFORE_UP[word])
             if word == b"BYE":
                 assert self.client.lines() == before + ([] if self.over else [line])
                 self.over = True
         self.settle()
 
-    @precondition(lambda self: self.stood and not self.over and self.current() is not None)
+    @precondition(lambda self: self.established and not self.over and self.current() is not None)
     @rule(line=st.sampled_from([b"M 1", b"LOAD 3", b"BYE", b"MOVE", b"x"]), split=st.booleans())
-    def server_speaks(self, line: bytes, split: bool) -> None:
+    def server_sends_line(self, line: bytes, split: bool) -> None:
         wire = self.current()
         wire.receive(line[:1] if split else b"")
         wire.receive((line[1:] if split else line) + b"\r\n")
         self.to_client.append(line)
         if line in (b"BYE", b"MOVE"):
             self.over = True
-            self.told[self.sends - 1] = BEFORE_UP[line]
+            self.expected[self.sends - 1] = BEFORE_UP[line]
             self.settle()
             assert self.client.fin_sent and not self.client.lost or self.client.lost
 
@@ -267,10 +267,10 @@
             wire.peer_ends()
             wire.flush()
             wire.flush()
-        if not self.told.get(self.sends - 1):
-            self.told[self.sends - 1] = api.Result.RESET if ran else api.Result.CONNECT_FAILED
+        if not self.expected.get(self.sends - 1):
+            self.expected[self.sends - 1] = api.Result.RESET if ran else api.Result.CONNECT_FAILED
         self.settle()
-        if self.stood and not self.over:
+        if self.established and not self.over:
             assert self.client.lost or not broke and self.client.fin_sent, "the two sides ended in different ways"
             self.over = True
 
@@ -282,12 +282,12 @@
         self.settle()
         for number in range(self.sends):
             for outcome in self.events(api.Outcome):
-                if outcome.attempt == number and number not in self.told:
+                if outcome.attempt == number and number not in self.expected:
                     assert outcome.result in (api.Result.TIMEOUT, api.Result.CONNECT_FAILED, api.Result.CANCELLED)
-                    self.told[number] = outcome.result
+                    self.expected[number] = outcome.result
         self.over = self.over or any(outcome.last for outcome in self.events(api.Outcome))
         due = self.asked_at + WAIT_MS * 1_000_000 + DEADLINE_SLACK_NS
-        if self.client is not None and not self.stood and self.now() >= due:
+        if self.client is not None and not self.established and self.now() >= due:
             if not self.over:
                 assert self.client.lines()[-1] == b"ERR", "no answer at the deadline"
             self.over = True
@@ -299,12 +299,12 @@
     # Invariants
 
     @invariant()
-    def one_answer_and_one_attempt(self) -> None:
+    def at_most_one_answer_and_one_attempt(self) -> None:
         if self.client is None:
             return
         lines = self.client.lines()
         answers = [line for line in lines if line.split(b" ")[0] in FINAL]
-        if not self.stood:
+        if not self.established:
             assert len(answers) <= 1, "two final answers"
         else:
             expected = self.to_client
@@ -317,7 +317,7 @@
         counts, lines = self.bench.driver.figures.counts[0], self.client.lines() if self.client else []
         words = [line.split(b" ")[0] for line in lines[:1]]
         answered = counts.fulfilled + counts.throttled + counts.faulted
-        assert answered <= 1 and counts.fulfilled == int(self.stood or words == [b"BYE"])
+        assert answered <= 1 and counts.fulfilled == int(self.established or words == [b"BYE"])
         if not self.client_left:
             assert (counts.throttled, counts.faulted) == (words == [b"BUSY"], words == [b"ERR"])
         written = sum(b"\r\n" in wire.sent for wire in self.bench.wires())
@@ -329,13 +329,13 @@
         outcomes = self.events(api.Outcome)
         assert [o.attempt for o in outcomes] == list(range(len(outcomes)))
         for outcome in outcomes:
-            if outcome.attempt in self.told:
-                assert outcome.result is self.told[outcome.attempt], (outcome, self.told)
-        assert len(self.events(api.Established)) == int(self.stood)
+            if outcome.attempt in self.expected:
+                assert outcome.result is self.expected[outcome.attempt], (outcome, self.expected)
+        assert len(self.events(api.Established)) == int(self.established)
 
     @invariant()
     def lines_pass_unchanged(self) -> None:
-        if self.stood:
+        if self.established:
             sent = self.bench.wires()[-1].lines()[1:]
             assert sent == self.to_server[: len(sent)]
 
@@ -363,5 +363,5 @@
 def test_the_random_steps_reach_every_state():
     # The model would prove nothing if its runs ended before a connection is established.
     run_state_machine_as_test(OneRequest, settings=settings(max_examples=300, stateful_step_count=30))
-    assert OneRequest.reached["stood"] >= 50
+    assert OneRequest.reached["established"] >= 50
     assert len(OneRequest.reached) >= 6, OneRequest.reached
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -31,7 +31,7 @@
 OPEN = b"OPEN 9b1f 7f3a c=browse,d=800,g=5c0f\r\n"
 
 
-def stand(bench: Bench, line: bytes = OPEN) -> tuple[Wire, Wire, str]:
+def establish(bench: Bench, line: bytes = OPEN) -> tuple[Wire, Wire, str]:
     client = bench.client()
     client.receive(line)
     name = bench.module.events_of(api.Request)[-1].request
@@ -102,8 +102,8 @@
     # A server would seem to have restarted if its start changed with each reading of the clocks.
     calendar = Calendar((5_000 - 1_000_000) * MS)
     listed = Roster(endpoints=(Endpoint("s", since_ms=996_000),))
-    told = [Catalog(("z",), calendar).read(listed, 1000.0 + i)[0] for i in range(2)]
-    assert told[0] == told[1] and told[0][0].started == 1_000 * MS
+    readings = [Catalog(("z",), calendar).read(listed, 1000.0 + i)[0] for i in range(2)]
+    assert readings[0] == readings[1] and readings[0][0].started == 1_000 * MS
     assert calendar.moment(0) == 0 and calendar.moment(1) == 0
 
 
@@ -125,12 +125,12 @@
 def test_delays_on_load_lines_are_not_taken_for_loads():
     # A delay of 364 ms read as a load of 364 us a second makes a crowded server look idle.
     lines, now = load_lines()
-    told = []
+    readings = []
     for at, amount in ((0, 60_000.0), (500, 364.3), (1500, 277.7), (2500, 3.8), (3100, 55_000.0)):
         now[0] = at * MS
-        told.append(lines.read("s", "c", amount))
+        readings.append(lines.read("s", "c", amount))
     load, delay = api.NoteKind.LOAD, api.NoteKind.DELAY
-    assert told == [(load, 60_000.0), None, (delay, 277.7), (delay, 3.8), (load, 55_000.0)]
+    assert readings == [(load, 60_000.0), None, (delay, 277.7), (delay, 3.8), (load, 55_000.0)]
     now[0] = 9000 * MS
     assert lines.settle() == []
 
@@ -138,7 +138,7 @@
 def test_delays_of_a_hanging_server_are_distinguished_from_equally_large_loads():
     # The module never hears of a hang if 14,350 ms are read as a load of 14,350 us a second.
     lines, now = load_lines()
-    told = []
+    is_delay = []
     for at, name, amount in (
         (0, "c", 60_000.0),
         (0, "d", 9000.0),
@@ -150,8 +150,8 @@
         (2500, "d", 15_096.5),
     ):
         now[0] = at * MS
-        told.append((lines.read("s", name, amount) or ("", 0))[0] is api.NoteKind.DELAY)
-    assert told == [False, False, False, False, False, True, False, True]
+        is_delay.append((lines.read("s", name, amount) or ("", 0))[0] is api.NoteKind.DELAY)
+    assert is_delay == [False, False, False, False, False, True, False, True]
 
 
 def test_a_load_that_falls_far_is_reported_when_no_second_delay_follows():
@@ -213,7 +213,7 @@
 
 def test_move_is_sent_between_two_lines():
     bench = Bench()
-    client, server, name = stand(bench)
+    client, server, name = establish(bench)
     server.receive(b"M 1 half a li")
     bench.act(api.Move(name))
     server.receive(b"ne\r\n")
@@ -228,12 +228,12 @@
     # TCP does not report a server that hangs or was cut off; its clients would stay there.
     bench = Bench()
     bench.driver.look_round()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
     client.receive(b"M 1\r\n")
     for _ in range(65):
         bench.reactor.advance(0.1)
-    told = [note.amount for note in bench.module.events_of(api.Note)]
-    assert told[0] < 500 and told == sorted(told) and 4 <= len(told) <= 7
+    delays = [note.amount for note in bench.module.events_of(api.Note)]
+    assert delays[0] < 500 and delays == sorted(delays) and 4 <= len(delays) <= 7
     bench.reactor.advance(0)
     assert server.lost and client.fin_due and bench.module.events_of(api.Outcome)[0].result is api.Result.RESET
 
@@ -242,22 +242,22 @@
     # The server still answers its other connections, so a stream that stopped is reported as silent, not as a delay.
     bench = Bench()
     bench.driver.look_round()
-    silent, server, name = stand(bench)
-    other, answering, _ = stand(bench, OPEN.replace(b"9b1f", b"9b20"))
+    silent, server, name = establish(bench)
+    other, answering, _ = establish(bench, OPEN.replace(b"9b1f", b"9b20"))
     silent.receive(b"M 1\r\n")
     for _ in range(11):
         bench.reactor.advance(0.1)
         other.receive(b"M 2\r\n")
         answering.receive(b"M 2\r\n")
-    told = bench.module.events_of(api.Note)
-    assert [(note.request, note.kind) for note in told] == [(name, api.NoteKind.SILENT)]
-    assert told[0].amount >= 1000
+    notes = bench.module.events_of(api.Note)
+    assert [(note.request, note.kind) for note in notes] == [(name, api.NoteKind.SILENT)]
+    assert notes[0].amount >= 1000
 
 
 def test_a_connection_that_answers_is_never_closed_as_silent():
     bench = Bench()
     bench.driver.look_round()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
     for _ in range(30):
         client.receive(b"M 1\r\n")
         bench.reactor.advance(0.01)
@@ -270,7 +270,7 @@
 def test_a_slow_reader_pauses_the_other_side_and_is_finally_reset():
     # Otherwise all that a server sends piles up in memory for a client that reads nothing.
     bench = Bench()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
     client.producer.pauseProducing()
     assert server.paused
     bench.reactor.advance(STALL_TIMEOUT_S - 1)
@@ -287,7 +287,7 @@
 
 def test_a_peer_that_does_not_close_is_reset_after_the_close_timeout():
     bench = Bench()
-    client, server, name = stand(bench)
+    client, server, name = establish(bench)
     bench.act(api.Move(name))
     client.flush()
     assert client.fin_sent and not client.lost
@@ -296,19 +296,19 @@
     assert client.lost and server.lost
 
 
-@pytest.mark.parametrize("says", [b"", b"OPEN 9b1f 7f3a c=browse,d=8", b"PING\r\n", b"PING\r\nOP"])
-def test_a_client_that_never_sends_a_request_is_closed(says):
+@pytest.mark.parametrize("sent", [b"", b"OPEN 9b1f 7f3a c=browse,d=8", b"PING\r\n", b"PING\r\nOP"])
+def test_a_client_that_never_sends_a_request_is_closed(sent):
     # Silent clients, trickling ones and idle health checks would hold a descriptor for up to a minute.
     bench = Bench()
     client = bench.client()
-    for byte in says:
+    for byte in sent:
         client.receive(bytes([byte]))
         bench.reactor.advance(0.01)
-    bench.reactor.advance(2.9 - len(says) / 100)
+    bench.reactor.advance(2.9 - len(sent) / 100)
     client.flush()
     # A client that has begun a line, or never sent PING, is answered, as its request may be in transit.
-    told = [b"PONG"] * says.startswith(b"PING") + [b"ERR"] * (says != b"PING\r\n")
-    assert client.lines() == told and client.fin_sent
+    expected = [b"PONG"] * sent.startswith(b"PING") + [b"ERR"] * (sent != b"PING\r\n")
+    assert client.lines() == expected and client.fin_sent
     bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
     assert client.lost and bench.pool.in_use == 0 and not bench.module.events_of(api.Request)
@@ -329,10 +329,10 @@
 def test_a_second_request_with_the_id_of_an_open_one_is_rejected():
     # Sent on, the copy would be rejected by its server, and the rejection would count against that server.
     bench = Bench()
-    client, server, name = stand(bench)
-    thief = bench.client()
-    thief.receive(OPEN)
-    assert thief.lines() == [b"ERR"] and len(bench.module.events_of(api.Request)) == 1
+    client, server, name = establish(bench)
+    duplicate = bench.client()
+    duplicate.receive(OPEN)
+    assert duplicate.lines() == [b"ERR"] and len(bench.module.events_of(api.Request)) == 1
     client.receive(b"M 1\r\n")
     assert server.lines()[-1] == b"M 1" and not client.fin_due
     bench.act(api.Move(name))
@@ -438,14 +438,14 @@
 def test_a_request_for_a_server_that_moved_goes_to_its_new_address():
     bench = Bench()
     bench.list(a="127.0.0.9:9")
-    stand(bench)
+    establish(bench)
     assert bench.reactor.dialled[0].address == "127.0.0.9:9"
 
 
 def test_a_failing_module_ends_nothing_but_its_event():
     # One exception must not end the process and every connection on it.
     bench = Bench()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
 
     def fail(event: api.Event) -> list[api.Action]:
         raise RuntimeError("index out of range")
@@ -509,7 +509,7 @@
         link.dataReceived(b"x\r\n")
 
 
-class Calls:
+class FakeHttpClient:
     """Replaces an HTTP client; the test provides the answers."""
 
     def __init__(self) -> None:
@@ -521,26 +521,26 @@
         return call
 
 
-def a_watch() -> tuple[discovery_watch.DiscoveryWatch, list[api.MembershipKind]]:
-    told: list[api.MembershipKind] = []
-    made = discovery_watch.DiscoveryWatch(
+def discovery_watch_and_events() -> tuple[discovery_watch.DiscoveryWatch, list[api.MembershipKind]]:
+    kinds: list[api.MembershipKind] = []
+    watch = discovery_watch.DiscoveryWatch(
         Clock(),
         "127.0.0.1",
         1,
         Catalog((), Calendar(0)),
-        lambda event, _: told.append(event.kind),
+        lambda event, _: kinds.append(event.kind),
         WatchTimes(False, 10.0, 1.0, 0.5),
         lambda: 0.0,
     )
-    made.agent = Calls()
-    return made, told
+    watch.agent = FakeHttpClient()
+    return watch, kinds
 
 
 def test_a_replaced_discovery_reports_nothing_more(monkeypatch):
     # A late answer or failure of the old discovery must not reach the module after the new list.
     monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
     for late in (succeed, fail):
-        watch, told = a_watch()
+        watch, kinds = discovery_watch_and_events()
         watch.watch()
         ((url, call),) = watch.agent.out
         assert url.endswith("/catalog/members"), "no version is known there yet"
@@ -548,19 +548,19 @@
         reply = SimpleNamespace(code=200, body=b'{"index":9,"snapshot":true,"endpoints":[]}')
         late(reply if late is succeed else ConnectionError("reset")).addCallbacks(call.callback, call.errback)
         watch.watch()
-        assert told == [] and len(watch.agent.out) == 1
+        assert kinds == [] and len(watch.agent.out) == 1
 
 
 def test_the_version_of_a_list_is_kept_over_a_failed_call(monkeypatch):
     monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
-    watch, told = a_watch()
+    watch, kinds = discovery_watch_and_events()
     watch.watch()
     watch.agent.out[0][1].errback(ConnectionError("refused"))
     watch.reactor.advance(4.1)  # it asks again by itself
     watch.watch()
     watch.agent.out[1][1].callback(SimpleNamespace(code=200, body=b'{"index":9,"endpoints":[]}'))
     assert [url.partition("members")[2] for url, _ in watch.agent.out] == ["", "", "?after=9&wait_ms=2625"]
-    assert told == [api.MembershipKind.LOST, api.MembershipKind.FULL]
+    assert kinds == [api.MembershipKind.LOST, api.MembershipKind.FULL]
 
 
 @pytest.mark.parametrize("early", [b"", b"M 1\r\nM 2\r\n"])
