--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -381,7 +381,9 @@
         fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
         fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
         fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.requests), fleet.kernel.now)
-        fleet.checker.resources_left(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
+        fleet.checker.resources_left(
+            name, "buffers", relay.door.client_context.attempt_context.pool.in_use, fleet.kernel.now
+        )
 
 
 @contextlib.contextmanager
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -6,7 +6,7 @@
 
 from scaledeal import interface as api
 from scaledeal.net.ports import Timer
-from scaledeal.net.sides import AttemptEvents, Carried
+from scaledeal.net.sides import AttemptEvents, PausedConnection
 from scaledeal.net.transaction import Transaction
 from scaledeal.quic.core.table import Flow
 from scaledeal.quic.wire import frames
@@ -33,7 +33,7 @@
         self.timer = self.side.reactor.callLater(timeout_ns / 1e9, self.abort, api.Result.TIMEOUT)
         sent_all = self.side.carry_out(self.side.router.begin_attempt(self.flow, self.events.server, self.side.now()))
         if sent_all and self.flow.attempt_path is not None:
-            self.events.written()
+            self.events.request_written()
         else:
             # Deferred: the transaction refers to this attempt only after ``begin`` has returned.
             self.side.reactor.callLater(0, self.abort, api.Result.CONNECT_FAILED)
@@ -90,7 +90,7 @@
     def _end(self, result: api.Result) -> None:
         self.ended = True
         self._stop_timer()
-        self.events.over(result, (), False)
+        self.events.attempt_ended(result, (), False)
 
     def _stop_timer(self) -> None:
         if self.timer is not None and self.timer.active():
@@ -151,14 +151,14 @@
         else:
             # Without this event the decision module would attribute the end to the server, and take it for draining.
             self.side.driver.post(api.ClientGone(transaction.handle))
-            transaction.gone(False)
+            transaction.client_left(False)
 
-    def hand_over(self) -> Carried | None:
+    def hand_over(self) -> PausedConnection | None:
         """Return None: a new process finds the flows by their connection ids."""
         return None
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Do nothing; never called, as ``hand_over`` returns None."""
 
-    def keep(self) -> None:
+    def cancel_handover(self) -> None:
         """Do nothing; never called, as ``hand_over`` returns None."""
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -12,12 +12,12 @@
 
 from scaledeal import interface as api
 from scaledeal.net import config
-from scaledeal.net.admission import OWN
+from scaledeal.net.admission import RESERVED_DESCRIPTORS
 from scaledeal.net.driver import Driver
 from scaledeal.net.ports import Reactor
 from scaledeal.net.relay import Relay
 from scaledeal.net.service import Stage
-from scaledeal.net.sides import Ask
+from scaledeal.net.sides import ClientRequest
 from scaledeal.operator import FileError, Quic
 from scaledeal.quic.core import verdicts as v
 from scaledeal.quic.core.router import Router
@@ -90,15 +90,15 @@
 
     def _reserve_descriptors(self) -> None:
         """Subtract the paths' descriptors from those that line-protocol connections may use."""
-        admission = self.relay.door.reception.admission
+        admission = self.relay.door.client_context.admission
         # Besides the paths: the listener, the offer's Unix socket, the connections to the old and the new process.
         needed = self.quic.max_paths + 4
-        if admission.most - needed < OWN + MIN_LINE_DESCRIPTORS:
+        if admission.limit - needed < RESERVED_DESCRIPTORS + MIN_LINE_DESCRIPTORS:
             raise config.ConfigError(
-                f"quic.max_paths: {needed} of {admission.most} descriptors leave too few for line connections; "
-                f"{max(0, admission.most - OWN - MIN_LINE_DESCRIPTORS - 4)} paths are possible"
+                f"quic.max_paths: {needed} of {admission.limit} descriptors leave too few for line connections; "
+                f"{max(0, admission.limit - RESERVED_DESCRIPTORS - MIN_LINE_DESCRIPTORS - 4)} paths are possible"
             )
-        admission.most -= needed
+        admission.limit -= needed
 
     def start(self) -> None:
         """Request the socket from an old process, or bind it; raise ConfigError if that fails."""
@@ -256,7 +256,9 @@
             self.carry_out(self.router.reject(flow, frames.CONNECTION_REFUSED, b"no rule", self.now()))
             return True
         flow.agent = agent = QuicAgent(self, flow)
-        request = Ask(match.request_class, self.now() + match.timeout_ns, match.key, match.group, match.tenant)
+        request = ClientRequest(
+            match.request_class, self.now() + match.timeout_ns, match.key, match.group, match.tenant
+        )
         agent.transaction = self.driver.take(request, agent)
         return True
 
@@ -266,7 +268,7 @@
         rule = self.quic.rule[-1]
         number, deadline = self.rule_matcher.classes.get(rule.class_name, (0, 1))
         flow.agent = agent = QuicAgent(self, flow)
-        request = Ask(number, self.now() + deadline, flow.source[0], "", rule.tenant)
+        request = ClientRequest(number, self.now() + deadline, flow.source[0], "", rule.tenant)
         agent.adopt(self.driver.resume(request, agent, flow.server, 0.0))
         return True
 
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -15,10 +15,10 @@
 from twisted.python.failure import Failure
 
 from scaledeal import interface as api
-from scaledeal.net.admission import CLOSING, OWN
-from scaledeal.net.buffers import LINE
+from scaledeal.net.admission import RESERVED_DESCRIPTORS, RESERVED_FOR_CLOSING
+from scaledeal.net.buffers import MAX_LINE_BYTES
 from scaledeal.net.client_listener import ClientFactory, ClientListener
-from scaledeal.net.transaction import SLACK
+from scaledeal.net.transaction import DEADLINE_SLACK_NS
 
 FINAL = (b"UP", b"BUSY", b"ERR")
 LATE = 0.05  # seconds beyond its time that a final answer may take
@@ -57,9 +57,9 @@
     "reset, half written": (20, b"", resets, "connect_failed"),
     "end, half written": (20, b"", ends, "connect_failed"),
     "turned away, nothing written": (0, b"BUSY\r\n", ends, "full"),
-    "reset, written": (LINE, b"", resets, "reset"),
-    "end, written": (LINE, b"", ends, "reset"),
-    "reset behind half an answer": (LINE, b"UP 7", resets, "reset"),
+    "reset, written": (MAX_LINE_BYTES, b"", resets, "reset"),
+    "end, written": (MAX_LINE_BYTES, b"", ends, "reset"),
+    "reset behind half an answer": (MAX_LINE_BYTES, b"UP 7", resets, "reset"),
 }
 
 
@@ -121,7 +121,7 @@
 
 def sent_on(bench: Bench) -> bytes:
     """Have the request sent, and return the line that its server gets."""
-    for asked in bench.module.of(api.Request):
+    for asked in bench.module.events_of(api.Request):
         bench.act(api.Send(asked.request, "a", 0))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
@@ -144,7 +144,7 @@
         told = got[len(head) + 3 :].split(b",", 1)[0].strip()
         assert 1 <= int(told) <= 2000 and got == line.replace(b"d=2000", b"d=" + told) + b"\r\n", f"cut at {cut}"
         assert head in got and tail.partition(b",")[2] in got
-        asked = bench.module.of(api.Request)
+        asked = bench.module.events_of(api.Request)
         assert [each.returning for each in asked] == [b"again=1" in line] * (b"at=" not in line)
 
 
@@ -154,7 +154,7 @@
         bench = Bench()
         client = bench.client()
         client.receive(OPENS[0] + b"\r\n")
-        bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
+        bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
         server = bench.reactor.dialled[0].up(bench.reactor)
         server.flush()
         server.receive(said[:cut])
@@ -164,20 +164,20 @@
 
 @pytest.mark.parametrize("over", [0, 1])
 def test_a_first_line_of_4_kib_cut_near_its_end(over: int) -> None:
-    whole = (OPENS[0] + b",x=").ljust(LINE - 2 + over, b"y") + b"\r\n"
+    whole = (OPENS[0] + b",x=").ljust(MAX_LINE_BYTES - 2 + over, b"y") + b"\r\n"
     for cut in range(len(whole) - 4, len(whole) + 1):
         bench = Bench()
         client = bench.client()
         client.receive(whole[:cut])
         client.receive(whole[cut:])
         assert client.lines() == [b"ERR"] * over and len(bench.driver.transactions) == 1 - over, f"cut at {cut}"
-        assert bench.pool.out == 0
+        assert bench.pool.in_use == 0
 
 
 # A final answer in time, in every state of a request
 
 
-def up(one: OneRelay, write: int = LINE) -> list[Wire]:
+def up(one: OneRelay, write: int = MAX_LINE_BYTES) -> list[Wire]:
     """Bring every attempt up, with so many bytes of its line written once; return those that are up."""
     for each in one.attempts():
         if each.wire is None and not each.over:
@@ -249,7 +249,7 @@
     for term in (None, 0.0, wait / 2, max(0.0, wait - 2 * STEP)):
         for slow in (0.0, 2.0):
             one = OneRelay(tmp_path, servers, settings)
-            client = one.resting()
+            client = one.idle_client()
             client.receive(b"OPEN 1 7f3a c=browse,")
             play(one, act, one.reactor.seconds() + slow)
             client.receive(b"d=%d,g=5c0f%s\r\n" % (wait * 1000, more))
@@ -262,7 +262,9 @@
             assert len(finals(client)) == 1 and client.fin_due, where
             play(one, act, began + wait + 4)
             assert len(client.lines()) == 1 and (term is None or one.stopped), where
-            assert not one.relay.driver.transactions and one.relay.door.reception.context.pool.out == 0, where
+            assert (
+                not one.relay.driver.transactions and one.relay.door.client_context.attempt_context.pool.in_use == 0
+            ), where
             assert all(each.over for each in one.attempts()) and not [w for w in up(one, 0) if not w.closing], where
 
 
@@ -290,7 +292,7 @@
 
     one.relay.driver.balancer.handle = broken  # type: ignore[method-assign]
     client = one.client(1, 900)
-    play(one, refuse_all, one.reactor.seconds() + 0.9 + SLACK / 1e9 + STEP)
+    play(one, refuse_all, one.reactor.seconds() + 0.9 + DEADLINE_SLACK_NS / 1e9 + STEP)
     assert len(finals(client)) == 1 and not one.relay.driver.transactions
 
 
@@ -302,8 +304,8 @@
     bench = Bench()
     client = bench.client()
     client.receive(OPENS[0] + b"\r\n")
-    bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
-    client.receive(b"x" * LINE)
+    bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
+    client.receive(b"x" * MAX_LINE_BYTES)
     assert client.lines() == [b"ERR"] and client.fin_due and not client.aborted
     assert bench.reactor.dialled[0].over and not bench.driver.transactions
     assert bench.admission.turned_away == {"line too long": 1}
@@ -312,17 +314,17 @@
 def test_a_request_that_has_come_is_read_before_its_client_has_to_give_way() -> None:
     # Guards against a request in the socket that is shut unread, as its client looked silent.
     bench = Bench()
-    bench.admission.most = OWN + 8
+    bench.admission.limit = RESERVED_DESCRIPTORS + 8
     asks, writes, silent, *others = clients = [bench.client() for _ in range(8)]
     for number, each in enumerate((asks, *others)):
         each.unread = b"OPEN %x k c=browse,d=2000\r\n" % number
     writes.unread = b"OPEN ff k c=bro"
     for _ in range(9):
-        bench.knock()
+        bench.connect()
         bench.reactor.advance(0)
     assert silent.lost and silent.sent == b""
-    asked = [each for each in clients if each.link.asked and not each.lines()]
-    assert asks in asked and len(bench.module.of(api.Request)) == len(asked) == 4, "all that there is room for"
+    asked = [each for each in clients if each.link.has_request and not each.lines()]
+    assert asks in asked and len(bench.module.events_of(api.Request)) == len(asked) == 4, "all that there is room for"
     for each in others:
         assert each in asked or each.lines() == [b"BUSY"], "shut unread"
     assert 2 * len(asked) <= 8
@@ -331,14 +333,14 @@
 def test_clients_that_ask_all_at_once_are_answered_and_pass_no_limit() -> None:
     # Guards against descriptors that are passed, or run out on a dial, when those who rested all ask in one moment.
     bench = Bench()
-    bench.admission.most = OWN + 40
+    bench.admission.limit = RESERVED_DESCRIPTORS + 40
     clients = [bench.client() for _ in range(40)]
     for number, each in enumerate(clients):
         each.receive(b"OPEN %x k c=browse,d=2000\r\n" % number)
-        for asked in bench.module.of(api.Request)[len(bench.reactor.dialled) :]:
+        for asked in bench.module.events_of(api.Request)[len(bench.reactor.dialled) :]:
             bench.act(api.Send(asked.request, "a", 0))
     held = sum(not each.lost for each in clients) + len(bench.reactor.dialled)
-    assert held <= 40 + CLOSING and len(bench.reactor.dialled) >= 20 - CLOSING
+    assert held <= 40 + RESERVED_FOR_CLOSING and len(bench.reactor.dialled) >= 20 - RESERVED_FOR_CLOSING
     answers = [each.lines() for each in clients if not each.aborted]
     assert answers.count([b"BUSY"]) + len(bench.reactor.dialled) == len(answers)
 
@@ -352,13 +354,13 @@
     act = serve if served else up
     play(one, act, one.reactor.seconds() + 1)
     clients, came = [one.client(1, int(longest * 1000))], 1
-    resting = [one.resting() for _ in range(23)]
+    resting = [one.idle_client() for _ in range(23)]
     one.relay.drain()
     told = one.reactor.seconds()
     while not one.stopped:
         assert one.reactor.seconds() < told + min(longest, 3.0) + 0.7, "still there at the kill"
         if not one.port.closed:  # the system takes it, and its line comes a moment later
-            resting.append(one.resting())
+            resting.append(one.idle_client())
         if len(resting) > 4:
             came += 1
             clients.append(resting.pop(0))
@@ -395,11 +397,13 @@
     reactor: Any = cast(Any, MonotonicReactor)()
     bench = Bench()
     bench.driver.leaving = True
-    listener: Any = ClientListener(0, ClientFactory(bench.reception), 64, "127.0.0.1", reactor)
+    listener: Any = ClientListener(0, ClientFactory(bench.client_context), 64, "127.0.0.1", reactor)
     listener.startListening()
     at = ("127.0.0.1", listener.getHost().port)
     listener.stopListening()
-    clients = [socket.create_connection(at) for _ in range(2 * CLOSING + 3)]  # it closes in the reactor's next round
+    clients = [
+        socket.create_connection(at) for _ in range(2 * RESERVED_FOR_CLOSING + 3)
+    ]  # it closes in the reactor's next round
     for number, each in enumerate(clients):
         each.sendall(b"OPEN %x k c=browse,d=2000\r\n" % number)
     for _ in range(200):
@@ -422,7 +426,7 @@
     one = OneRelay(folder, 1, site())
     one.run(5)  # it serves
     one.path.write_text(json.dumps(one.written | {"discovery": "127.0.0.9:10"}))
-    resting, half, held = one.resting(), one.resting(), one.client(1, 400, b",at=nowhere")
+    resting, half, held = one.idle_client(), one.idle_client(), one.client(1, 400, b",at=nowhere")
     half.receive(b"OPEN 2 7f3a c=browse,d=20")
     clients = [resting, half, held]
     for step in range(300):
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the relay one by one: one failure found, or one trap of the protocol, one test."""
+"""Tests of single parts of the relay, each for one failure or one pitfall of the protocol."""
 
 from __future__ import annotations
 
@@ -13,22 +13,28 @@
 
 from scaledeal import interface as api
 from scaledeal.net import discovery_watch, wording
-from scaledeal.net.admission import CLOSING, OWN, PROBES, SUMMARY, most_descriptors
-from scaledeal.net.buffers import LINE, BufferPool
+from scaledeal.net.admission import (
+    RESERVED_DESCRIPTORS,
+    RESERVED_FOR_CLOSING,
+    RESERVED_FOR_PROBES,
+    SUMMARY_INTERVAL_S,
+    descriptor_limit,
+)
+from scaledeal.net.buffers import MAX_LINE_BYTES, BufferPool
 from scaledeal.net.delays import Delays
-from scaledeal.net.lines import DISCARDED, LINGER, STALL, LineLink
+from scaledeal.net.lines import CLOSE_TIMEOUT_S, MAX_DISCARDED_BYTES, STALL_TIMEOUT_S, LineLink
 from scaledeal.net.load_lines import LoadLines
 from scaledeal.net.roster import Calendar, Catalog, Endpoint, Roster
-from scaledeal.net.user_agent import EARLY
+from scaledeal.net.user_agent import MAX_EARLY_LINES
 from scaledeal.net.watch_times import WatchTimes
 
 OPEN = b"OPEN 9b1f 7f3a c=browse,d=800,g=5c0f\r\n"
 
 
-def stand(bench: Bench, line: bytes = OPEN) -> tuple[Wire, Wire, str]:
+def establish(bench: Bench, line: bytes = OPEN) -> tuple[Wire, Wire, str]:
     client = bench.client()
     client.receive(line)
-    name = bench.module.of(api.Request)[-1].request
+    name = bench.module.events_of(api.Request)[-1].request
     bench.act(api.Send(name, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
@@ -40,7 +46,7 @@
     line = b"OPEN 9b1f 7f3a c=x,d=2000,g=5c,dd=7,h=1.5"
     read = wording.read_open(line)
     assert read.with_wait(1234 * MS) == line.replace(b"d=2000", b"d=1234")
-    assert read.with_wait(1).partition(b"d=")[2].startswith(b"1,"), "a wait of no time would be no number"
+    assert read.with_wait(1).partition(b"d=")[2].startswith(b"1,"), "a wait below 1 ms must not become 0"
 
 
 @pytest.mark.parametrize(
@@ -81,34 +87,34 @@
         ),
     ],
 )
-def test_a_line_in_another_form_is_no_request(line):
+def test_a_malformed_first_line_is_rejected(line):
     assert wording.read_open(line) is None
 
 
-def test_reports_are_read_by_the_words_of_the_sockets_in_the_order_of_the_settings():
+def test_reports_are_parsed_by_wire_names_in_the_order_of_the_settings():
     read = wording.report_reader(("fail_rate", "rif", "x0"))
     assert read(b"PONG inflight=7,x0=0.61,eps=0.5,new=1") == (0.5, 7.0, 0.61)
-    # Guards against a report that lacks a value being taken for an idle server.
+    # A report that lacks a value must not make its server look idle.
     assert read(b"PONG inflight=7,eps=0.5") == () and read(b"BYE") == ()
 
 
 def test_an_unchanged_start_is_the_same_moment_in_every_list():
-    # Guards against a server that seems to have restarted since the clocks were read again.
+    # A server would seem to have restarted if its start changed with each reading of the clocks.
     calendar = Calendar((5_000 - 1_000_000) * MS)
     listed = Roster(endpoints=(Endpoint("s", since_ms=996_000),))
-    told = [Catalog(("z",), calendar).read(listed, 1000.0 + i)[0] for i in range(2)]
-    assert told[0] == told[1] and told[0][0].started == 1_000 * MS
+    readings = [Catalog(("z",), calendar).read(listed, 1000.0 + i)[0] for i in range(2)]
+    assert readings[0] == readings[1] and readings[0][0].started == 1_000 * MS
     assert calendar.moment(0) == 0 and calendar.moment(1) == 0
 
 
-def test_slow_messages_are_news_once_a_second_and_once_more_when_over():
-    # Guards against a note for every message, which the module was never tuned for.
+def test_slow_messages_are_reported_once_a_second_and_once_more_when_over():
+    # The module is not tuned for a note on every message.
     now = [0]
     delays = Delays((60 * MS, 90 * MS, 0), lambda: now[0])
-    assert [delays.news("s", took * MS) for took in (19, 21, 99)] == [False, True, False]
+    assert [delays.should_report("s", took * MS) for took in (19, 21, 99)] == [False, True, False]
     now[0] = 1000 * MS
-    assert [delays.news("s", 21 * MS), delays.news("t", 21 * MS)] == [True, True]
-    assert [delays.news("s", MS), delays.news("s", MS)] == [True, False]
+    assert [delays.should_report("s", 21 * MS), delays.should_report("t", 21 * MS)] == [True, True]
+    assert [delays.should_report("s", MS), delays.should_report("s", MS)] == [True, False]
 
 
 def load_lines() -> tuple[LoadLines, list[int]]:
@@ -116,23 +122,23 @@
     return LoadLines(16.0, lambda: now[0]), now
 
 
-def test_times_on_load_lines_are_no_loads():
-    # Guards against a crowded server that looks idle: 364 ms read as a load of 364 us a second.
+def test_delays_on_load_lines_are_not_taken_for_loads():
+    # A delay of 364 ms read as a load of 364 us a second makes a crowded server look idle.
     lines, now = load_lines()
-    told = []
+    readings = []
     for at, amount in ((0, 60_000.0), (500, 364.3), (1500, 277.7), (2500, 3.8), (3100, 55_000.0)):
         now[0] = at * MS
-        told.append(lines.read("s", "c", amount))
+        readings.append(lines.read("s", "c", amount))
     load, delay = api.NoteKind.LOAD, api.NoteKind.DELAY
-    assert told == [(load, 60_000.0), None, (delay, 277.7), (delay, 3.8), (load, 55_000.0)]
+    assert readings == [(load, 60_000.0), None, (delay, 277.7), (delay, 3.8), (load, 55_000.0)]
     now[0] = 9000 * MS
     assert lines.settle() == []
 
 
-def test_the_times_of_a_server_that_hangs_are_told_apart_from_loads_as_large():
-    # Guards against a hang that the module never hears of: 14,350 ms read as a load of 14,350 us a second.
+def test_delays_of_a_hanging_server_are_distinguished_from_equally_large_loads():
+    # The module never hears of a hang if 14,350 ms are read as a load of 14,350 us a second.
     lines, now = load_lines()
-    told = []
+    is_delay = []
     for at, name, amount in (
         (0, "c", 60_000.0),
         (0, "d", 9000.0),
@@ -144,11 +150,11 @@
         (2500, "d", 15_096.5),
     ):
         now[0] = at * MS
-        told.append((lines.read("s", name, amount) or ("", 0))[0] is api.NoteKind.DELAY)
-    assert told == [False, False, False, False, False, True, False, True]
+        is_delay.append((lines.read("s", name, amount) or ("", 0))[0] is api.NoteKind.DELAY)
+    assert is_delay == [False, False, False, False, False, True, False, True]
 
 
-def test_a_load_that_falls_far_is_told_once_no_second_time_came():
+def test_a_load_that_falls_far_is_reported_when_no_second_delay_follows():
     lines, now = load_lines()
     lines.read("s", "c", 60_000.0)
     now[0] = 700 * MS
@@ -162,52 +168,52 @@
     assert not lines.loads
 
 
-def test_buffers_are_of_one_size_and_used_again():
-    pool = BufferPool(kept=1)
+def test_buffers_have_one_size_and_are_reused():
+    pool = BufferPool(max_free=1)
     first, second = pool.take(), pool.take()
     pool.give_back(first)
     pool.give_back(second)
-    assert pool.take() is first and len(first) == LINE and len(pool.free) == 0 and pool.out == 1
+    assert pool.take() is first and len(first) == MAX_LINE_BYTES and len(pool.free) == 0 and pool.in_use == 1
 
 
-@pytest.mark.parametrize("size", [LINE - 2, LINE - 1, 3 * LINE])
+@pytest.mark.parametrize("size", [MAX_LINE_BYTES - 2, MAX_LINE_BYTES - 1, 3 * MAX_LINE_BYTES])
 def test_a_line_of_4_kib_passes_and_a_longer_one_is_answered(size):
     bench = Bench()
     client = bench.client()
     line = (OPEN[:-2] + b",x=").ljust(size, b"y")
-    client.receive(line[: LINE - 2])
-    client.receive(line[LINE - 2 :] + b"\r\n")
-    assert len(bench.module.of(api.Request)) == (size == LINE - 2)
-    assert client.lines() == ([] if size == LINE - 2 else [b"ERR"])
-    assert bench.pool.out == 0
+    client.receive(line[: MAX_LINE_BYTES - 2])
+    client.receive(line[MAX_LINE_BYTES - 2 :] + b"\r\n")
+    assert len(bench.module.events_of(api.Request)) == (size == MAX_LINE_BYTES - 2)
+    assert client.lines() == ([] if size == MAX_LINE_BYTES - 2 else [b"ERR"])
+    assert bench.pool.in_use == 0
 
 
-def test_a_connect_that_does_not_come_up_never_ran():
-    # Guards against a time out of a connect told as one that may have run.
+def test_a_connect_that_times_out_is_a_failed_connect():
+    # Reported as a timeout, the request would count as one that may have run.
     for timeout in (100 * MS, 0):
         bench = Bench()
         bench.client().receive(OPEN)
-        bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", timeout))
+        bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", timeout))
         bench.reactor.advance(0.26)
-        assert [o.result for o in bench.module.of(api.Outcome)] == [api.Result.CONNECT_FAILED]
+        assert [o.result for o in bench.module.events_of(api.Outcome)] == [api.Result.CONNECT_FAILED]
 
 
 def test_a_late_up_does_not_reach_the_client():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
-    bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 90 * MS))
+    bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 90 * MS))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
     bench.reactor.advance(0.1)
     server.link.dataReceived(b"UP 1\r\n")
-    assert client.lines() == [] and not bench.module.of(api.Established)
-    assert bench.module.of(api.Outcome)[0].result is api.Result.TIMEOUT
+    assert client.lines() == [] and not bench.module.events_of(api.Established)
+    assert bench.module.events_of(api.Outcome)[0].result is api.Result.TIMEOUT
 
 
-def test_move_stands_between_two_lines():
+def test_move_is_sent_between_two_lines():
     bench = Bench()
-    client, server, name = stand(bench)
+    client, server, name = establish(bench)
     server.receive(b"M 1 half a li")
     bench.act(api.Move(name))
     server.receive(b"ne\r\n")
@@ -215,63 +221,63 @@
     server.flush()
     bench.reactor.advance(1)
     bench.reactor.advance(0)
-    assert bench.module.of(api.Outcome)[0].result is api.Result.CANCELLED
+    assert bench.module.events_of(api.Outcome)[0].result is api.Result.CANCELLED
 
 
-def test_a_silent_connection_is_told_and_broken_off_within_7_seconds():
-    # Guards against clients left on a server that hangs or was cut off: TCP tells nothing of it.
+def test_a_silent_connection_is_reported_and_closed_within_7_seconds():
+    # TCP does not report a server that hangs or was cut off; its clients would stay there.
     bench = Bench()
     bench.driver.look_round()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
     client.receive(b"M 1\r\n")
     for _ in range(65):
         bench.reactor.advance(0.1)
-    told = [note.amount for note in bench.module.of(api.Note)]
-    assert told[0] < 500 and told == sorted(told) and 4 <= len(told) <= 7
+    delays = [note.amount for note in bench.module.events_of(api.Note)]
+    assert delays[0] < 500 and delays == sorted(delays) and 4 <= len(delays) <= 7
     bench.reactor.advance(0)
-    assert server.lost and client.fin_due and bench.module.of(api.Outcome)[0].result is api.Result.RESET
+    assert server.lost and client.fin_due and bench.module.events_of(api.Outcome)[0].result is api.Result.RESET
 
 
-def test_one_silent_connection_is_no_server_that_hangs():
-    # Guards against a stream that stopped short being told as a hang of its server, which answers the others.
+def test_one_silent_connection_is_not_reported_as_a_hanging_server():
+    # The server still answers its other connections, so a stream that stopped is reported as silent, not as a delay.
     bench = Bench()
     bench.driver.look_round()
-    silent, server, name = stand(bench)
-    other, answering, _ = stand(bench, OPEN.replace(b"9b1f", b"9b20"))
+    silent, server, name = establish(bench)
+    other, answering, _ = establish(bench, OPEN.replace(b"9b1f", b"9b20"))
     silent.receive(b"M 1\r\n")
     for _ in range(11):
         bench.reactor.advance(0.1)
         other.receive(b"M 2\r\n")
         answering.receive(b"M 2\r\n")
-    told = bench.module.of(api.Note)
-    assert [(note.request, note.kind) for note in told] == [(name, api.NoteKind.SILENT)]
-    assert told[0].amount >= 1000
+    notes = bench.module.events_of(api.Note)
+    assert [(note.request, note.kind) for note in notes] == [(name, api.NoteKind.SILENT)]
+    assert notes[0].amount >= 1000
 
 
-def test_a_connection_that_answers_is_never_broken_off():
+def test_a_connection_that_answers_is_never_closed_as_silent():
     bench = Bench()
     bench.driver.look_round()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
     for _ in range(30):
         client.receive(b"M 1\r\n")
         bench.reactor.advance(0.01)
         server.receive(b"M 1\r\n")
         bench.reactor.advance(0.5)
     bench.reactor.advance(30)
-    assert not server.lost and not bench.module.of(api.Note)
+    assert not server.lost and not bench.module.events_of(api.Note)
 
 
-def test_a_slow_reader_pauses_the_other_side_and_is_reset_in_the_end():
-    # Guards against all that a server sends piling up for a client that reads nothing.
+def test_a_slow_reader_pauses_the_other_side_and_is_finally_reset():
+    # Otherwise all that a server sends piles up in memory for a client that reads nothing.
     bench = Bench()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
     client.producer.pauseProducing()
     assert server.paused
-    bench.reactor.advance(STALL - 1)
+    bench.reactor.advance(STALL_TIMEOUT_S - 1)
     client.producer.resumeProducing()
     assert not server.paused
     client.producer.pauseProducing()
-    bench.reactor.advance(STALL + 1)
+    bench.reactor.advance(STALL_TIMEOUT_S + 1)
     bench.reactor.advance(0)
     assert client.lost
     server.flush()
@@ -279,36 +285,36 @@
     assert server.lost and not bench.driver.transactions
 
 
-def test_a_peer_that_does_not_close_is_reset_soon():
+def test_a_peer_that_does_not_close_is_reset_after_the_close_timeout():
     bench = Bench()
-    client, server, name = stand(bench)
+    client, server, name = establish(bench)
     bench.act(api.Move(name))
     client.flush()
     assert client.fin_sent and not client.lost
-    bench.reactor.advance(LINGER)
+    bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
     assert client.lost and server.lost
 
 
-@pytest.mark.parametrize("says", [b"", b"OPEN 9b1f 7f3a c=browse,d=8", b"PING\r\n", b"PING\r\nOP"])
-def test_a_client_that_never_asks_is_let_go(says):
-    # Guards against silent clients, trickles and idle checks that hold a descriptor for up to a minute.
+@pytest.mark.parametrize("sent", [b"", b"OPEN 9b1f 7f3a c=browse,d=8", b"PING\r\n", b"PING\r\nOP"])
+def test_a_client_that_never_sends_a_request_is_closed(sent):
+    # Silent clients, trickling ones and idle health checks would hold a descriptor for up to a minute.
     bench = Bench()
     client = bench.client()
-    for byte in says:
+    for byte in sent:
         client.receive(bytes([byte]))
         bench.reactor.advance(0.01)
-    bench.reactor.advance(2.9 - len(says) / 100)
+    bench.reactor.advance(2.9 - len(sent) / 100)
     client.flush()
-    # Whoever has begun a line, or never pinged, hears of its end: its request may be on its way.
-    told = [b"PONG"] * says.startswith(b"PING") + [b"ERR"] * (says != b"PING\r\n")
-    assert client.lines() == told and client.fin_sent
-    bench.reactor.advance(LINGER)
+    # A client that has begun a line, or never sent PING, is answered, as its request may be in transit.
+    expected = [b"PONG"] * sent.startswith(b"PING") + [b"ERR"] * (sent != b"PING\r\n")
+    assert client.lines() == expected and client.fin_sent
+    bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
-    assert client.lost and bench.pool.out == 0 and not bench.module.of(api.Request)
+    assert client.lost and bench.pool.in_use == 0 and not bench.module.events_of(api.Request)
 
 
-def test_a_front_that_goes_on_asking_stays_and_a_flood_does_not():
+def test_a_front_that_keeps_pinging_stays_connected_and_a_flood_does_not():
     bench = Bench()
     front = bench.client()
     for _ in range(60):
@@ -320,38 +326,46 @@
     assert flood.lines()[-1] == b"ERR" and len(flood.lines()) < 60 and flood.fin_due
 
 
-def test_the_id_of_an_open_request_is_no_one_elses():
-    # Guards against a server that turns the copy away, which then speaks against that server.
+def test_a_second_request_with_the_id_of_an_open_one_is_rejected():
+    # Sent on, the copy would be rejected by its server, and the rejection would count against that server.
     bench = Bench()
-    client, server, name = stand(bench)
-    thief = bench.client()
-    thief.receive(OPEN)
-    assert thief.lines() == [b"ERR"] and len(bench.module.of(api.Request)) == 1
+    client, server, name = establish(bench)
+    duplicate = bench.client()
+    duplicate.receive(OPEN)
+    assert duplicate.lines() == [b"ERR"] and len(bench.module.events_of(api.Request)) == 1
     client.receive(b"M 1\r\n")
     assert server.lines()[-1] == b"M 1" and not client.fin_due
     bench.act(api.Move(name))
     again = bench.client()
     again.receive(OPEN)
-    assert again.lines() == [] and len(bench.module.of(api.Request)) == 2 and len(bench.reception.ids) == 1
+    assert (
+        again.lines() == []
+        and len(bench.module.events_of(api.Request)) == 2
+        and len(bench.client_context.open_ids) == 1
+    )
 
 
-def test_a_flood_before_the_answer_is_turned_away():
+def test_a_flood_before_the_answer_is_rejected():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + b"M 1\r\n" * 300)
     assert client.lines() == [b"ERR"] and client.fin_due
-    assert [e.request for e in bench.module.of(api.ClientGone)] == ["t1"] and not bench.driver.transactions
+    assert [e.request for e in bench.module.events_of(api.ClientGone)] == ["t1"] and not bench.driver.transactions
 
 
-def test_a_peer_that_sends_on_after_its_answer_is_not_read_for_ever():
-    # Guards against 60 MB that are read for nothing: the peer has its answer, and the socket takes no more.
+def test_a_peer_that_sends_on_after_its_answer_is_read_up_to_a_limit():
+    # Reading 60 MB from a peer that already has its answer is of no use.
     bench = Bench()
     client = bench.client()
     for _ in range(100):
         if not client.paused:
-            client.receive(b"k" * LINE)
-    assert client.lines() == [b"ERR"] and client.paused and client.link._discarded < DISCARDED + 2 * LINE
-    bench.reactor.advance(LINGER)
+            client.receive(b"k" * MAX_LINE_BYTES)
+    assert (
+        client.lines() == [b"ERR"]
+        and client.paused
+        and client.link._discarded < MAX_DISCARDED_BYTES + 2 * MAX_LINE_BYTES
+    )
+    bench.reactor.advance(CLOSE_TIMEOUT_S)
     bench.reactor.advance(0)
     assert client.lost
 
@@ -366,7 +380,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "taken"),
+    ("parameter", "accepted"),
     [
         (b"", True),
         (b",t=acme", True),
@@ -378,25 +392,25 @@
         (b",t=Acme", False),
     ],
 )
-def test_a_tenant_is_told_by_its_name_in_the_settings_or_by_its_number(told, taken):
+def test_a_tenant_is_given_by_its_name_in_the_settings_or_by_its_number(parameter, accepted):
     bench = Bench()
     client = bench.client()
-    client.receive(OPEN.replace(b"\r\n", told + b"\r\n"))
-    assert bool(bench.driver.transactions) is taken, client.lines()
-    if taken:
-        assert [e.tenant for e in bench.module.of(api.Request)] == [0]
+    client.receive(OPEN.replace(b"\r\n", parameter + b"\r\n"))
+    assert bool(bench.driver.transactions) is accepted, client.lines()
+    if accepted:
+        assert [e.tenant for e in bench.module.events_of(api.Request)] == [0]
     else:
         assert client.lines() == [b"ERR"]
 
 
-def test_the_clients_turned_away_are_told_in_one_line(caplog):
+def test_clients_that_were_turned_away_are_logged_in_one_line(caplog):
     caplog.set_level("INFO")
     bench = Bench()
     for _ in range(40):
         bench.client().receive(b"frob\r\n")
-    bench.reactor.advance(SUMMARY)
-    assert [r.getMessage() for r in caplog.records] == ["turned away in 10 s: 40 no request"]
-    bench.reactor.advance(2 * SUMMARY)
+    bench.reactor.advance(SUMMARY_INTERVAL_S)
+    assert [r.getMessage() for r in caplog.records] == ["clients turned away in 10 s: 40 invalid request"]
+    bench.reactor.advance(2 * SUMMARY_INTERVAL_S)
     assert len(caplog.records) == 1 and bench.reactor.getDelayedCalls() == []
 
 
@@ -404,17 +418,17 @@
     ("stated", "soft", "most"),
     [(540, 4096, 540), (540, 256, 256), (0, 300, 300), (0, resource.RLIM_INFINITY, 1024), (0, 1 << 20, 1024)],
 )
-def test_the_descriptors_are_what_is_stated_and_allowed(monkeypatch, stated, soft, most):
+def test_the_descriptor_limit_is_the_lower_of_configured_and_allowed(monkeypatch, stated, soft, most):
     monkeypatch.setattr(resource, "getrlimit", lambda _: (soft, soft))
-    assert most_descriptors(stated) == most
+    assert descriptor_limit(stated) == most
 
 
 def test_lines_sent_before_the_answer_wait_for_it():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + b"M 1\r\nM 2\r\n")
-    assert not client.paused, "behind them stands the client's end"
-    bench.act(api.Send(bench.module.of(api.Request)[0].request, "a", 0))
+    assert not client.paused, "the client's end may follow them"
+    bench.act(api.Send(bench.module.events_of(api.Request)[0].request, "a", 0))
     server = bench.reactor.dialled[0].up(bench.reactor)
     server.flush()
     server.receive(b"UP 1\r\n")
@@ -424,14 +438,14 @@
 def test_a_request_for_a_server_that_moved_goes_to_its_new_address():
     bench = Bench()
     bench.list(a="127.0.0.9:9")
-    stand(bench)
+    establish(bench)
     assert bench.reactor.dialled[0].address == "127.0.0.9:9"
 
 
 def test_a_failing_module_ends_nothing_but_its_event():
-    # Guards against one exception that takes the process and every connection on it along.
+    # One exception must not end the process and every connection on it.
     bench = Bench()
-    client, server, _ = stand(bench)
+    client, server, _ = establish(bench)
 
     def fail(event: api.Event) -> list[api.Action]:
         raise RuntimeError("index out of range")
@@ -440,7 +454,7 @@
     other = bench.client()
     other.receive(OPEN)
     bench.reactor.advance(0.9)
-    assert other.lines() == [b"ERR"], "an answer is owed all the same"
+    assert other.lines() == [b"ERR"], "the request was not answered"
     client.receive(b"M 1\r\n")
     assert server.lines()[-1] == b"M 1"
 
@@ -457,12 +471,12 @@
         if not bench.wires():
             bench.reactor.dialled[0].up(bench.reactor)
         bench.wires()[0].receive(line)
-        assert bench.module.of(api.ProbeResult)[-1].result is result
-    assert bench.module.of(api.ProbeResult)[0].report == (0.0, 3.0, 0.5)
+        assert bench.module.events_of(api.ProbeResult)[-1].result is result
+    assert bench.module.events_of(api.ProbeResult)[0].report == (0.0, 3.0, 0.5)
     assert len(bench.reactor.dialled) == 1 and bench.wires()[0].lines() == [b"STATS"] * 3
     bench.reactor.advance(5)
     bench.reactor.advance(0)
-    assert bench.wires()[0].lost and not bench.probes.probes, "kept beyond its use"
+    assert bench.wires()[0].lost and not bench.probes.probes, "an unused probe connection was kept"
 
 
 def test_a_probe_without_an_answer_has_its_result_and_a_late_answer_none():
@@ -475,14 +489,14 @@
     bench.reactor.dialled[1].fail()
     bench.act(api.Probe("a"))
     bench.reactor.dialled[2].up(bench.reactor).lose(error.ConnectionLost())
-    results = [probe.result for probe in bench.module.of(api.ProbeResult)]
+    results = [probe.result for probe in bench.module.events_of(api.ProbeResult)]
     assert results == [api.Result.TIMEOUT, api.Result.CONNECT_FAILED, api.Result.RESET]
     bench.act(api.Probe("unknown"))
-    assert bench.module.of(api.ProbeResult)[-1].result is api.Result.CONNECT_FAILED
+    assert bench.module.events_of(api.ProbeResult)[-1].result is api.Result.CONNECT_FAILED
 
 
 def test_an_exception_of_one_link_is_not_swallowed_here():
-    # Twisted closes the connection whose handler raised and goes on; nothing here may hide that from it.
+    # Twisted closes a connection whose handler raised and goes on; the exception must reach it.
     bench = Bench()
     link = LineLink(bench.reactor, bench.pool)
     Wire(bench.reactor, link)
@@ -490,13 +504,13 @@
     def fail(line: bytes) -> None:
         raise RuntimeError
 
-    link.line_came = fail  # type: ignore[method-assign]
+    link.line_received = fail  # type: ignore[method-assign]
     with pytest.raises(RuntimeError):
         link.dataReceived(b"x\r\n")
 
 
-class Calls:
-    """Stands in for an HTTP client; answers come when the test gives them."""
+class FakeHttpClient:
+    """Replaces an HTTP client; the test provides the answers."""
 
     def __init__(self) -> None:
         self.out: list[tuple[str, Deferred[object]]] = []
@@ -507,26 +521,26 @@
         return call
 
 
-def a_watch() -> tuple[discovery_watch.DiscoveryWatch, list[api.MembershipKind]]:
-    told: list[api.MembershipKind] = []
-    made = discovery_watch.DiscoveryWatch(
+def discovery_watch_and_events() -> tuple[discovery_watch.DiscoveryWatch, list[api.MembershipKind]]:
+    kinds: list[api.MembershipKind] = []
+    watch = discovery_watch.DiscoveryWatch(
         Clock(),
         "127.0.0.1",
         1,
         Catalog((), Calendar(0)),
-        lambda event, _: told.append(event.kind),
+        lambda event, _: kinds.append(event.kind),
         WatchTimes(False, 10.0, 1.0, 0.5),
         lambda: 0.0,
     )
-    made.agent = Calls()
-    return made, told
+    watch.agent = FakeHttpClient()
+    return watch, kinds
 
 
-def test_a_farm_that_another_took_over_from_tells_nothing_more(monkeypatch):
-    # Guards against the old discovery's late answer, or its failure, reaching the module after the new list.
+def test_a_replaced_discovery_reports_nothing_more(monkeypatch):
+    # A late answer or failure of the old discovery must not reach the module after the new list.
     monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
     for late in (succeed, fail):
-        watch, told = a_watch()
+        watch, kinds = discovery_watch_and_events()
         watch.watch()
         ((url, call),) = watch.agent.out
         assert url.endswith("/catalog/members"), "no version is known there yet"
@@ -534,31 +548,31 @@
         reply = SimpleNamespace(code=200, body=b'{"index":9,"snapshot":true,"endpoints":[]}')
         late(reply if late is succeed else ConnectionError("reset")).addCallbacks(call.callback, call.errback)
         watch.watch()
-        assert told == [] and len(watch.agent.out) == 1
+        assert kinds == [] and len(watch.agent.out) == 1
 
 
 def test_the_version_of_a_list_is_kept_over_a_failed_call(monkeypatch):
     monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
-    watch, told = a_watch()
+    watch, kinds = discovery_watch_and_events()
     watch.watch()
     watch.agent.out[0][1].errback(ConnectionError("refused"))
     watch.reactor.advance(4.1)  # it asks again by itself
     watch.watch()
     watch.agent.out[1][1].callback(SimpleNamespace(code=200, body=b'{"index":9,"endpoints":[]}'))
     assert [url.partition("members")[2] for url, _ in watch.agent.out] == ["", "", "?after=9&wait_ms=2625"]
-    assert told == [api.MembershipKind.LOST, api.MembershipKind.FULL]
+    assert kinds == [api.MembershipKind.LOST, api.MembershipKind.FULL]
 
 
 @pytest.mark.parametrize("early", [b"", b"M 1\r\nM 2\r\n"])
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("stage", ["connecting", "sending", "held"])
 def test_no_attempt_begins_after_its_client_left(stage: str, how: str, early: bytes):
-    # Guards against a connect that comes up late, or a first line still queued, for a client that has gone; also where
-    # the settings allow no cancelling, and where lines that came too soon hid the client's end.
+    # A late connect or a queued first line must not go out for a client that has left; also if the settings forbid
+    # cancelling, and if early lines precede the client's end.
     bench = Bench()
     client = bench.client()
     client.receive(OPEN + early)
-    name = bench.module.of(api.Request)[-1].request
+    name = bench.module.events_of(api.Request)[-1].request
     if stage != "held":
         bench.act(api.Send(name, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor) if stage == "sending" else None
@@ -568,21 +582,21 @@
     bench.reactor.advance(0)
     if server is not None:
         server.flush()
-        assert server.aborted and server.sent == b"", "sent on for nobody"
+        assert server.aborted and server.sent == b"", "sent although the client has left"
     assert all(each.over for each in bench.reactor.dialled)
     bench.act(api.Send(name, "b", 0))
     assert len(bench.reactor.dialled) == (stage != "held"), "a further attempt"
-    results = [event.result for event in bench.module.of(api.Outcome) if event.result is not api.Result.NOT_SENT]
-    assert results == ([] if stage == "held" else [api.Result.CANCELLED]), "no fault of the server's"
-    assert not bench.driver.transactions and not bench.reception.ids
+    results = [event.result for event in bench.module.events_of(api.Outcome) if event.result is not api.Result.NOT_SENT]
+    assert results == ([] if stage == "held" else [api.Result.CANCELLED]), "counted against the server"
+    assert not bench.driver.transactions and not bench.client_context.open_ids
 
 
-def test_more_lines_than_a_client_may_send_too_soon_end_its_request_and_its_attempt():
+def test_too_many_early_lines_end_the_request_and_its_attempt():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
-    for _ in range(EARLY):
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
+    for _ in range(MAX_EARLY_LINES):
         client.receive(b"M 1\r\n")
     assert client.lines() == [] and not bench.reactor.dialled[0].over
     client.receive(b"M 1\r\n")
@@ -590,32 +604,34 @@
     assert not bench.driver.transactions and bench.admission.turned_away["flooded"] == 1
 
 
-def test_an_attempt_that_was_written_is_the_modules_to_cancel():
+def test_a_written_attempt_is_cancelled_only_by_the_module():
     bench = Bench()
     client = bench.client()
     client.receive(OPEN)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
     server.flush()
     client.peer_ends()
-    assert not server.aborted and len(bench.module.of(api.ClientGone)) == 1
+    assert not server.aborted and len(bench.module.events_of(api.ClientGone)) == 1
 
 
 def test_probes_of_hundreds_of_servers_leave_the_descriptors_to_clients():
-    # Guards against a probe connection kept to each of 1,024 servers: they were counted as a fixed few.
+    # Kept probe connections to 1,024 servers exceed the limit if only a fixed few are counted.
     bench = Bench()
     for number in range(1024):
         bench.probes.probe(f"s{number}", f"127.0.0.1:{number + 1}")
         bench.reactor.dialled[-1].up(bench.reactor).receive(b"PONG\r\n")
         bench.reactor.advance(0)
     held = [wire for wire in bench.wires() if not wire.lost]
-    assert len(held) == bench.probes.held() <= PROBES + (256 - OWN) // 2
+    assert len(held) == bench.probes.held() <= RESERVED_FOR_PROBES + (256 - RESERVED_DESCRIPTORS) // 2
     clients = 0
-    while (client := bench.knock()) is not None:
+    while (client := bench.connect()) is not None:
         clients += 1
         client.receive(OPEN.replace(b"9b1f", b"%x" % clients))
         held = [wire for wire in bench.reactor.up if not wire.lost and not wire.closing]
-        assert OWN - PROBES + len(held) + clients <= 256 + CLOSING, f"{clients} clients, each with its attempt"
-    assert clients == (256 - OWN) // 2, "all that there is room for"
-    assert bench.probes.held() <= PROBES, "clients had to go for idle probes"
+        assert RESERVED_DESCRIPTORS - RESERVED_FOR_PROBES + len(held) + clients <= 256 + RESERVED_FOR_CLOSING, (
+            f"{clients} clients, each with its attempt"
+        )
+    assert clients == (256 - RESERVED_DESCRIPTORS) // 2, "fewer or more clients than there is room for"
+    assert bench.probes.held() <= RESERVED_FOR_PROBES, "idle probes were kept at the cost of clients"
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -10,7 +10,7 @@
 from twisted.internet import error
 
 from scaledeal import interface as api
-from scaledeal.net.lines import LINGER
+from scaledeal.net.lines import CLOSE_TIMEOUT_S
 from scaledeal.net.operators import CALL_TIME, CALLERS, Operators
 from scaledeal.net.service import DRAINED, NOTICED, Stage
 
@@ -21,7 +21,7 @@
     """Have a client ask and stand."""
     client = bench.client()
     client.receive(b"OPEN a%d 7f3a c=browse,d=800\r\n" % number)
-    bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
+    bench.act(api.Send(bench.module.events_of(api.Request)[-1].request, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
     server.receive(b"UP 1\r\n")
@@ -93,7 +93,7 @@
             assert moved == len(self.clients) and not self.bench.driver.standing(), "not moved in time"
         self.moved = moved
         # Guards against servers taken for draining because this relay moved its clients.
-        assert len(self.bench.module.of(api.ClientGone)) == moved
+        assert len(self.bench.module.events_of(api.ClientGone)) == moved
 
     def teardown(self) -> None:
         """Nothing is left of a drain that was ended."""
@@ -157,9 +157,9 @@
     first = caller.lines()[0]
     assert first.split(b" ")[0] == told.split(b" ")[0] and caller.fin_due
     assert len(caller.lines()) == (3 if sent == b"INFO\n" else 1)
-    calls.bench.reactor.advance(LINGER + 0.1)
+    calls.bench.reactor.advance(CLOSE_TIMEOUT_S + 0.1)
     calls.bench.reactor.advance(0)
-    assert caller.lost and not calls.operators.callers and calls.bench.pool.out == 0
+    assert caller.lost and not calls.operators.callers and calls.bench.pool.in_use == 0
 
 
 def test_callers_that_stall_are_bounded_in_time_and_number_and_hold_nobody_up():
@@ -174,4 +174,4 @@
     assert calls.caller(b"PING\n").lines() == [b"ok serving"]
     calls.bench.reactor.advance(0)
     assert sum(not each.lost for each in stalling) < CALLERS == len(calls.operators.callers)
-    assert calls.bench.pool.out <= CALLERS
+    assert calls.bench.pool.in_use <= CALLERS
