--- a/scaledeal/lab/hosts/__init__.py
+++ b/scaledeal/lab/hosts/__init__.py
@@ -1,1 +1,4 @@
-"""Who plays the relays: ``module`` the decision module alone, ``relay`` the real network code on simulated sockets."""
+"""Hosts that run the relays of a simulated fleet.
+
+``module`` runs the decision module alone, ``relay`` the real network code on simulated sockets.
+"""
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -13,7 +13,7 @@
 from typing import Any, cast
 
 from scaledeal.hcl import Fault, FileError
-from scaledeal.lab.hosts.module import Factory, told_to
+from scaledeal.lab.hosts.module import BalancerFactory, document_for
 from scaledeal.lab.hosts.relay.peers import STOOD, BadEnd, ClientEnd, DirectoryListener, TileListener
 from scaledeal.lab.hosts.relay.reactor import OWN, Process, SimReactor
 from scaledeal.lab.hosts.relay.sockets import End, Machine, Net
@@ -121,7 +121,7 @@
 class RelayHost:
     """All relays of a run, and everybody who speaks with them."""
 
-    def __init__(self, fleet: Fleet, factory: Factory = Balancer) -> None:
+    def __init__(self, fleet: Fleet, factory: BalancerFactory = Balancer) -> None:
         self.factory = factory
         if any(trouble.name == "upgrade" for trouble in fleet.day.trouble):
             raise FileError([Fault(0, 'trouble["upgrade"]', "needs sockets handed over: play it on the host module")])
@@ -301,7 +301,7 @@
     def config(self, running: Running) -> Config:
         """Return what a relay is told at its start, as the platform would."""
         fleet, door = self.fleet, running.door
-        told = told_to(fleet, door)
+        told = document_for(fleet, door)
         known = [entry for entry in fleet.directory.entries.values() if entry.status != "left"]
         endpoints = tuple(
             Endpoint(each.name, each.address, each.zone, each.group, cast(Any, each.status), each.weight, each.since_ms)
--- a/scaledeal/lab/hunt/case.py
+++ b/scaledeal/lab/hunt/case.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from scaledeal.hcl import Duration, Span, Times
-from scaledeal.lab.hosts.module import Factory
+from scaledeal.lab.hosts.module import BalancerFactory
 from scaledeal.lab.hosts.relay.host import quiet
 from scaledeal.lab.kernel import RunawayError
 from scaledeal.lab.runs.play import HostName, hosted
@@ -55,7 +55,7 @@
     raise NotImplementedError(kind)
 
 
-def replay(case: Case, factory: Factory = Balancer) -> tuple[Violation | None, float]:
+def replay(case: Case, factory: BalancerFactory = Balancer) -> tuple[Violation | None, float]:
     """Play a case: return the rule that it breaks first, if any, and its figure."""
     fleet = Fleet(case.day, case.seed, True, case.shuffle)
     try:
@@ -68,7 +68,7 @@
     return None, float(fleet.service.result()["G"])
 
 
-def failure_of(case: Case, factory: Factory = Balancer) -> str:
+def failure_of(case: Case, factory: BalancerFactory = Balancer) -> str:
     """Return the rule that a case breaks, or nothing."""
     violation, _ = replay(case, factory)
     return violation.rule if violation is not None else ""
--- a/scaledeal/lab/hunt/party.py
+++ b/scaledeal/lab/hunt/party.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from scaledeal.lab.hosts.module import Factory
+from scaledeal.lab.hosts.module import BalancerFactory
 from scaledeal.lab.hunt.case import Case, failure_of, replay
 from scaledeal.lab.hunt.draw import around, drawn
 from scaledeal.lab.hunt.shrink import shrink
@@ -22,7 +22,7 @@
 AT_ONCE = 4  # days handed to a worker in one go
 
 
-def factory_of(source: str) -> Factory:
+def factory_of(source: str) -> BalancerFactory:
     """Return what makes balancers of a source; of today's where there is none."""
     return module_from(source) if source else Balancer
 
--- a/scaledeal/lab/runs/play.py
+++ b/scaledeal/lab/runs/play.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from scaledeal.lab.hosts.module import Factory, ModuleHost
+from scaledeal.lab.hosts.module import BalancerFactory, ModuleHost
 from scaledeal.lab.hosts.relay.host import RelayHost, quiet
 from scaledeal.lab.kernel import RunawayError
 from scaledeal.lab.scenario.reading import load_text
@@ -30,7 +30,7 @@
     source: str = ""  # of a decision module; empty: the one that is installed
     settings: str = ""  # HCL, laid over the scenario
 
-    def factory(self) -> Factory:
+    def factory(self) -> BalancerFactory:
         """Return what makes its balancers; raise ValueError where the source is none."""
         return module_from(self.source) if self.source else Balancer
 
@@ -80,7 +80,7 @@
         return 0.0 if self.violations or self.error else float(self.figures.get("G", 0.0))
 
 
-def module_from(source: str) -> Factory:
+def module_from(source: str) -> BalancerFactory:
     """Return the ``Balancer`` of a decision module's source; raise ValueError where there is none."""
     name = "scaledeal_variant_" + blake2b(source.encode(), digest_size=6).hexdigest()
     if name not in sys.modules:
@@ -102,7 +102,7 @@
     return load_text(job.scenario, job.variant.settings)
 
 
-def hosted(fleet: Fleet, host: HostName, factory: Factory) -> ModuleHost | RelayHost:
+def hosted(fleet: Fleet, host: HostName, factory: BalancerFactory) -> ModuleHost | RelayHost:
     """Return a host with its relays started."""
     return ModuleHost(fleet, factory) if host == "module" else RelayHost(fleet, factory)
 
