--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -15,7 +15,7 @@
 from scaledeal.hcl import Fault, FileError
 from scaledeal.lab.hosts.module import BalancerFactory, document_for
 from scaledeal.lab.hosts.relay.peers import STOOD, BadEnd, ClientEnd, DirectoryListener, TileListener
-from scaledeal.lab.hosts.relay.reactor import OWN, Process, SimReactor
+from scaledeal.lab.hosts.relay.reactor import INITIAL_DESCRIPTORS, Process, SimReactor
 from scaledeal.lab.hosts.relay.sockets import End, Machine, Net
 from scaledeal.lab.world.clients import Client
 from scaledeal.lab.world.fleet import EPOCH_MS, Fleet, RelayBackend
@@ -80,7 +80,7 @@
         self.reactor = SimReactor(host.net, self.process, host.address(door)[0])
         self.reactor.stopped = self.exits
         self.relay: Relay | None = None
-        self.process.do(self._begin)
+        self.process.call_soon(self._begin)
 
     @property
     def alive(self) -> bool:
@@ -279,7 +279,7 @@
         if not running.alive or running.relay is None:
             return
         relay = running.relay
-        running.process.do(relay.drain)
+        running.process.call_soon(relay.drain)
         self.fleet.kernel.after(STOPS, lambda: setattr(running.door, "in_rotation", False))
         self.fleet.kernel.after(TERM, lambda: self.kill(number) if running.alive else None)
 
@@ -290,7 +290,7 @@
         """Send SIGHUP: the configuration is read again."""
         running = self.running[number]
         if running.alive and running.relay is not None:
-            running.process.do(running.relay.reload)
+            running.process.call_soon(running.relay.reload)
 
     def exited(self, running: Running) -> None:
         """Hear that a relay ended by itself, as it was told."""
@@ -367,7 +367,7 @@
 
     def _machine(self, host: str, name: str, zone: int, near: bool = False) -> Machine:
         machine = Machine(name, zone, self.fleet.streams.of("machine", name), near)
-        self.net.place(host, machine)
+        self.net.add_machine(host, machine)
         return machine
 
     def _owners(self, running: Running) -> None:
@@ -377,7 +377,7 @@
         fleet, relay, name = self.fleet, running.relay, running.door.name
         listening = sum(each.machine is running.machine for each in self.net.listeners.values())
         watching = 1  # the watch of the list
-        left = running.process.held - OWN - listening - watching
+        left = running.process.open_descriptors - INITIAL_DESCRIPTORS - listening - watching
         fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
         fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
         fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.requests), fleet.kernel.now)
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -242,7 +242,7 @@
     def _ready(self) -> None:
         while (end := self.listener.accept()) is not None:
             TileSeat(self.host, self.server, end)
-            end.tell()
+            end.notify_owner()
 
 
 class DirectoryEnd:
@@ -352,7 +352,7 @@
     def _ready(self) -> None:
         while (end := self.listener.accept()) is not None:
             DirectoryEnd(self.host, end)
-            end.tell()
+            end.notify_owner()
 
 
 class ClientEnd(LineEnd):
--- a/scaledeal/lab/hosts/relay/sockets.py
+++ b/scaledeal/lab/hosts/relay/sockets.py
@@ -1,9 +1,9 @@
 """TCP as programs see it, in simulated time.
 
-What is modelled: the way and its jitter, in order; segments; a window that a reader who does not read fills;
-half-closes, resets, data for a closed end, accept queues that overflow; cut paths, over which segments wait for the
-path to come back; machines that vanish without a word. What is not: loss on a path that works, congestion, and TCP's
-own timers but for the retries over a cut.
+Modelled are network delay and its jitter, with delivery in order; segments; a window that fills when the reader does
+not read; half-closes, resets, data for a closed end and accept queues that overflow; cut paths, over which segments
+wait until the path works again; and machines that vanish silently. Not modelled are loss on a working path, congestion,
+and TCP's own timers, except for the retries over a cut path.
 """
 
 from __future__ import annotations
@@ -18,32 +18,32 @@
 from scaledeal.lab.world.network import Paths
 
 MS = 1_000_000
-WINDOW = 1 << 16  # bytes sent that the other end has not read
-RETRY = 200 * MS  # between two tries over a cut
-SYN_RETRY = 1000 * MS
+WINDOW_BYTES = 1 << 16  # most bytes sent that the other end has not read
+RETRANSMIT_INTERVAL_NS = 200 * MS  # between two tries to deliver over a cut path
+SYN_RETRANSMIT_INTERVAL_NS = 1000 * MS
 Address = tuple[str, int]
 
 
 class Machine:
-    """Where programs run: a place on the network, which can vanish and come back."""
+    """A machine on the network, which runs programs and can vanish and come back."""
 
-    def __init__(self, name: str, zone: int, draw: np.random.Generator, near: bool = False) -> None:
-        """``near``: a client's machine, whose way to its relay is a client's."""
-        self.name, self.zone, self.draw, self.near = name, zone, draw, near
+    def __init__(self, name: str, zone: int, rng: np.random.Generator, is_client: bool = False) -> None:
+        """``is_client``: a client's machine; its network delays are those between a client and its relay."""
+        self.name, self.zone, self.rng, self.is_client = name, zone, rng, is_client
         self.silent = False
 
 
-class Owner(Protocol):
-    """Who hears of one end of a connection."""
+class EndOwner(Protocol):
+    """Receives the events of one end of a connection."""
 
     def readable(self) -> None:
-        """Hear that there is something to read, or the end of it."""
+        """Handle the arrival of data or of the end of the stream."""
 
     def writable(self) -> None:
-        """Hear that there is room to write again."""
+        """Handle that there is room to write again."""
 
     def was_reset(self) -> None:
-        """Hear that the connection broke."""
+        """Handle a reset by the other end."""
 
 
 class End:
@@ -52,53 +52,57 @@
     def __init__(self, net: Net, machine: Machine, local: Address, remote: Address) -> None:
         self.net, self.machine, self.local, self.remote = net, machine, local, remote
         self.peer: End | None = None
-        self.owner: Owner | None = None
+        self.owner: EndOwner | None = None
         self.inbox: deque[bytes] = deque()
-        self.held = 0  # bytes in the inbox
-        self.flying = 0  # bytes sent that the peer has not read
-        self.fin_sent = self.fin_came = self.closed = self.broken = False
-        self.on_closed: Callable[[], None] = lambda: None  # who sees this end's program close it, before its peer does
-        self._last = 0  # when what was sent last arrives
+        self.inbox_bytes = 0
+        self.unread_bytes = 0  # sent, and not yet read by the peer
+        self.fin_sent = self.fin_received = self.closed = self.broken = False
+        # Called when this end's program closes it, before the peer sees the close.
+        self.on_closed: Callable[[], None] = lambda: None
+        self._last_arrival = 0  # arrival time of what was sent last
 
-    # What programs call
+    # Called by programs
 
     def room(self) -> int:
-        """Return how many bytes could be written now."""
-        return 0 if self.closed or self.broken or self.fin_sent else WINDOW - self.flying
+        """Return how many bytes can be written now."""
+        return 0 if self.closed or self.broken or self.fin_sent else WINDOW_BYTES - self.unread_bytes
 
     def send(self, data: bytes) -> int:
-        """Write; return how many bytes were taken. Raise BrokenPipeError where nobody can read them."""
+        """Write; return how many bytes were accepted. Raise BrokenPipeError if nobody can read them."""
         if self.closed or self.broken or self.fin_sent:
             raise BrokenPipeError
         data = data[: self.room()]
         size = self.net.segment
-        self.flying += len(data)
-        for at in range(0, len(data), size):
-            self._fly(lambda part=data[at : at + size]: self._arrives(part))  # type: ignore[misc]
+        self.unread_bytes += len(data)
+        for start in range(0, len(data), size):
+            self._send_to_peer(lambda part=data[start : start + size]: self._on_data(part))  # type: ignore[misc]
         return len(data)
 
-    def recv(self, most: int) -> bytes | None:
-        """Read; nothing at the end of the stream, None where there is nothing yet. Raise ConnectionResetError."""
+    def recv(self, limit: int) -> bytes | None:
+        """Read up to ``limit`` bytes; return none at the end of the stream, and None if nothing has arrived yet.
+
+        Raise ConnectionResetError after a reset by the other end.
+        """
         if self.broken:
             raise ConnectionResetError
         if not self.inbox:
-            return b"" if self.fin_came else None
+            return b"" if self.fin_received else None
         part = self.inbox.popleft()
-        if len(part) > most:
-            self.inbox.appendleft(part[most:])
-            part = part[:most]
-        self.held -= len(part)
-        self._was_read(len(part))
+        if len(part) > limit:
+            self.inbox.appendleft(part[limit:])
+            part = part[:limit]
+        self.inbox_bytes -= len(part)
+        self._on_read(len(part))
         return part
 
     def end_sending(self) -> None:
-        """End the sending, behind what was written."""
+        """Half-close: send FIN after the data that was written."""
         if not (self.fin_sent or self.closed or self.broken):
             self.fin_sent = True
-            self._fly(self._fin_arrives)
+            self._send_to_peer(self._on_fin)
 
     def close(self) -> None:
-        """Close both ways; unread data resets the other end, as it does for real."""
+        """Close both directions; if data is unread, reset the connection, as TCP does."""
         if self.closed:
             return
         if self.inbox and not self.broken:
@@ -106,46 +110,47 @@
             return
         self.end_sending()
         self.closed = True
-        self.net.closed(self)
+        self.net.remove(self)
 
     def abort(self) -> None:
         """Reset the connection."""
         if self.closed:
             return
         self.closed = True
-        self.net.closed(self)
+        self.net.remove(self)
         if not self.broken:
-            self._fly(self._reset_arrives)
+            self._send_to_peer(self._on_reset)
 
-    def tell(self) -> None:
-        """Tell an owner that has just taken the connection what came before."""
+    def notify_owner(self) -> None:
+        """Call a newly set owner for what arrived before it was set."""
         if self.owner is not None and self.broken:
             self.owner.was_reset()
-        elif self.owner is not None and (self.inbox or self.fin_came):
+        elif self.owner is not None and (self.inbox or self.fin_received):
             self.owner.readable()
 
     # Inside
 
-    def _fly(self, call: Callable[[], None]) -> None:
+    def _send_to_peer(self, call: Callable[[], None]) -> None:
         peer = self.peer
         assert peer is not None
-        # One after the other, never at one instant: what is drawn there must not reorder a stream.
-        moment = max(self._last + 1, self.net.kernel.now + self.net.way(self.machine, peer.machine))
-        self._last = moment
-        self.net.kernel.at(moment, lambda: self._land(call))
+        # Segments arrive at distinct times: the kernel may draw the order of calls at one instant, which would reorder
+        # the stream.
+        arrival = max(self._last_arrival + 1, self.net.kernel.now + self.net.delay(self.machine, peer.machine))
+        self._last_arrival = arrival
+        self.net.kernel.at(arrival, lambda: self._deliver(call))
 
-    def _land(self, call: Callable[[], None]) -> None:
+    def _deliver(self, call: Callable[[], None]) -> None:
         peer = self.peer
         assert peer is not None
         if peer.machine.silent or self.machine.silent:
             return
         if not self.net.reaches(self.machine, peer.machine):
-            self._last = max(self._last, self.net.kernel.now + RETRY)
-            self.net.kernel.after(RETRY, lambda: self._land(call))
+            self._last_arrival = max(self._last_arrival, self.net.kernel.now + RETRANSMIT_INTERVAL_NS)
+            self.net.kernel.after(RETRANSMIT_INTERVAL_NS, lambda: self._deliver(call))
             return
         call()
 
-    def _arrives(self, part: bytes) -> None:
+    def _on_data(self, part: bytes) -> None:
         peer = self.peer
         assert peer is not None
         if peer.closed:
@@ -155,18 +160,18 @@
         if peer.broken:
             return
         peer.inbox.append(part)
-        peer.held += len(part)
+        peer.inbox_bytes += len(part)
         if peer.owner is not None:
             peer.owner.readable()
 
-    def _fin_arrives(self) -> None:
+    def _on_fin(self) -> None:
         peer = self.peer
         assert peer is not None
-        peer.fin_came = True
+        peer.fin_received = True
         if peer.owner is not None and not peer.closed:
             peer.owner.readable()
 
-    def _reset_arrives(self) -> None:
+    def _on_reset(self) -> None:
         peer = self.peer
         assert peer is not None
         if peer.closed or peer.broken:
@@ -176,28 +181,30 @@
         if peer.owner is not None:
             peer.owner.was_reset()
 
-    def _was_read(self, count: int) -> None:
+    def _on_read(self, count: int) -> None:
         peer = self.peer
         assert peer is not None
-        was_full = peer.flying >= WINDOW
-        peer.flying -= count
+        was_full = peer.unread_bytes >= WINDOW_BYTES
+        peer.unread_bytes -= count
         if was_full and peer.owner is not None and not peer.closed:
             self.net.kernel.after(
-                self.net.way(self.machine, peer.machine),
+                self.net.delay(self.machine, peer.machine),
                 lambda: peer.owner.writable() if peer.owner and not peer.closed else None,
             )
 
 
 class Listener:
-    """A listening socket and its queue."""
+    """A listening socket and its accept queue."""
 
-    def __init__(self, net: Net, machine: Machine, address: Address, backlog: int, ready: Callable[[], None]) -> None:
-        self.net, self.machine, self.address, self.backlog, self.ready = net, machine, address, backlog, ready
+    def __init__(
+        self, net: Net, machine: Machine, address: Address, backlog: int, on_ready: Callable[[], None]
+    ) -> None:
+        self.net, self.machine, self.address, self.backlog, self.on_ready = net, machine, address, backlog, on_ready
         self.queue: deque[End] = deque()
         self.open = True
 
     def accept(self) -> End | None:
-        """Return the next connection, if one waits."""
+        """Return the next queued connection, or None."""
         while self.queue:
             end = self.queue.popleft()
             if not end.closed:
@@ -205,7 +212,7 @@
         return None
 
     def close(self) -> None:
-        """Stop listening: whoever waits is reset."""
+        """Stop listening, and reset the queued connections."""
         if self.open:
             self.open = False
             self.net.listeners.pop(self.address, None)
@@ -214,7 +221,7 @@
 
 
 class Dial:
-    """A connection that is being opened."""
+    """A connection attempt."""
 
     def __init__(
         self,
@@ -222,68 +229,70 @@
         machine: Machine,
         local: Address,
         remote: Address,
-        up: Callable[[End], None],
-        failed: Callable[[], None],
+        on_connected: Callable[[End], None],
+        on_refused: Callable[[], None],
     ) -> None:
         self.net, self.machine, self.local, self.remote = net, machine, local, remote
-        self.up, self.failed = up, failed
-        self.over = False
-        self._knock()
+        self.on_connected, self.on_refused = on_connected, on_refused
+        self.ended = False
+        self._send_syn()
 
     def stop(self) -> None:
-        """Give it up."""
-        self.over = True
+        """Abandon the attempt."""
+        self.ended = True
 
-    def _knock(self) -> None:
-        net, there = self.net, self.net.machine_at(self.remote)
-        if self.over:
+    def _send_syn(self) -> None:
+        net, target = self.net, self.net.machine_at(self.remote)
+        if self.ended:
             return
-        if there is None:  # nobody has that address: nothing comes back
+        if target is None:  # no machine has that address: no answer comes
             return
-        if there.silent or self.machine.silent or not self._both_ways(there):
-            net.kernel.after(SYN_RETRY, self._knock)
+        if target.silent or self.machine.silent or not self._works_both_ways(target):
+            net.kernel.after(SYN_RETRANSMIT_INTERVAL_NS, self._send_syn)
             return
-        net.kernel.after(net.way(self.machine, there), lambda: self._at_door(there))
+        net.kernel.after(net.delay(self.machine, target), lambda: self._on_syn(target))
 
-    def _both_ways(self, there: Machine) -> bool:
-        return self.net.reaches(self.machine, there) and self.net.reaches(there, self.machine)
+    def _works_both_ways(self, target: Machine) -> bool:
+        return self.net.reaches(self.machine, target) and self.net.reaches(target, self.machine)
 
-    def _at_door(self, there: Machine) -> None:
+    def _on_syn(self, target: Machine) -> None:
         net = self.net
         listener = net.listeners.get(self.remote)
-        back = net.way(there, self.machine)
-        if there.silent:
-            net.kernel.after(SYN_RETRY, self._knock)
+        return_delay = net.delay(target, self.machine)
+        if target.silent:
+            net.kernel.after(SYN_RETRANSMIT_INTERVAL_NS, self._send_syn)
         elif listener is None:
-            net.kernel.after(back, lambda: None if self.over else self._refused())
+            net.kernel.after(return_delay, lambda: None if self.ended else self._on_refused())
         elif len(listener.queue) >= listener.backlog:
-            net.kernel.after(SYN_RETRY, self._knock)  # guards against nothing: a full queue drops, as for real
+            net.kernel.after(SYN_RETRANSMIT_INTERVAL_NS, self._send_syn)  # a full queue drops the SYN, as in TCP
         else:
-            mine, theirs = net.pair(self.machine, there, self.local, self.remote)
-            net.kernel.after(back, lambda: self._up(mine))
-            net.kernel.after(back + net.way(self.machine, there), lambda: self._queued(listener, theirs))
+            local_end, remote_end = net.pair(self.machine, target, self.local, self.remote)
+            net.kernel.after(return_delay, lambda: self._on_connected(local_end))
+            net.kernel.after(
+                return_delay + net.delay(self.machine, target), lambda: self._enqueue(listener, remote_end)
+            )
 
-    def _up(self, end: End) -> None:
-        if self.over:
+    def _on_connected(self, end: End) -> None:
+        if self.ended:
             end.abort()
         else:
-            self.over = True
-            self.up(end)
+            self.ended = True
+            self.on_connected(end)
 
-    def _queued(self, listener: Listener, end: End) -> None:
+    def _enqueue(self, listener: Listener, end: End) -> None:
         if not listener.open:
             end.abort()
         elif not end.closed:
             listener.queue.append(end)
-            listener.ready()
+            listener.on_ready()
 
-    def _refused(self) -> None:
-        self.over = True
-        self.failed()
+    def _on_refused(self) -> None:
+        self.ended = True
+        self.on_refused()
 
 
 class Net:
-    """All machines, listeners and connections."""
+    """The simulated network: all machines, listeners and connections."""
 
     def __init__(self, kernel: Kernel, paths: Paths, segment: int) -> None:
         self.kernel, self.paths, self.segment = kernel, paths, segment
@@ -292,56 +301,61 @@
         self.ends: dict[Machine, set[End]] = {}
         self._ports = 40_000
 
-    def place(self, host: str, machine: Machine) -> None:
-        """Give a machine an address."""
+    def add_machine(self, host: str, machine: Machine) -> None:
+        """Give a machine an address; a machine that had it loses it."""
         self.machines[host] = machine
         self.ends.setdefault(machine, set())
 
     def machine_at(self, address: Address) -> Machine | None:
-        """Return who has an address."""
+        """Return the machine that has an address, or None."""
         return self.machines.get(address[0])
 
-    def listen(self, machine: Machine, address: Address, backlog: int, ready: Callable[[], None]) -> Listener:
-        """Open a listening socket; raise OSError where the address is taken."""
+    def listen(self, machine: Machine, address: Address, backlog: int, on_ready: Callable[[], None]) -> Listener:
+        """Open a listening socket; raise OSError if the address is in use."""
         if address in self.listeners:
             raise OSError(98, "Address already in use")
-        listener = self.listeners[address] = Listener(self, machine, address, backlog, ready)
+        listener = self.listeners[address] = Listener(self, machine, address, backlog, on_ready)
         return listener
 
     def dial(
-        self, machine: Machine, host: str, remote: Address, up: Callable[[End], None], failed: Callable[[], None]
+        self,
+        machine: Machine,
+        host: str,
+        remote: Address,
+        on_connected: Callable[[End], None],
+        on_refused: Callable[[], None],
     ) -> Dial:
-        """Open a connection; ``up`` or ``failed`` is called, or neither where nothing comes back."""
+        """Open a connection; ``on_connected`` or ``on_refused`` is called, or neither if no answer comes."""
         self._ports += 1
-        return Dial(self, machine, (host, self._ports), remote, up, failed)
-
-    def pair(self, one: Machine, other: Machine, local: Address, remote: Address) -> tuple[End, End]:
-        """Make a connection."""
-        mine, theirs = End(self, one, local, remote), End(self, other, remote, local)
-        mine.peer, theirs.peer = theirs, mine
-        self.ends.setdefault(one, set()).add(mine)
-        self.ends.setdefault(other, set()).add(theirs)
-        return mine, theirs
-
-    def closed(self, end: End) -> None:
-        """Forget an end that its program closed."""
+        return Dial(self, machine, (host, self._ports), remote, on_connected, on_refused)
+
+    def pair(self, source: Machine, target: Machine, local: Address, remote: Address) -> tuple[End, End]:
+        """Create the two ends of a connection."""
+        local_end, remote_end = End(self, source, local, remote), End(self, target, remote, local)
+        local_end.peer, remote_end.peer = remote_end, local_end
+        self.ends.setdefault(source, set()).add(local_end)
+        self.ends.setdefault(target, set()).add(remote_end)
+        return local_end, remote_end
+
+    def remove(self, end: End) -> None:
+        """Remove an end that its program closed, and notify its observer."""
         self.ends[end.machine].discard(end)
         end.on_closed()
 
     def kill(self, machine: Machine) -> None:
-        """End all that a machine's programs hold, as its system does when they die."""
-        for listener in [each for each in self.listeners.values() if each.machine is machine]:
+        """Close all listeners and reset all connections of a machine, as its kernel does when its programs die."""
+        for listener in [known for known in self.listeners.values() if known.machine is machine]:
             listener.close()
-        for end in sorted(self.ends.get(machine, ()), key=lambda each: (each.local, each.remote)):
+        for end in sorted(self.ends.get(machine, ()), key=lambda e: (e.local, e.remote)):
             end.owner = None
             end.abort()
 
-    def way(self, one: Machine, other: Machine) -> int:
-        """Return the ns of a message between two machines."""
-        if one.near or other.near:
-            return self.paths.client_time((one if one.near else other).draw)
-        return self.paths.time(one.zone, other.zone, one.draw)
+    def delay(self, source: Machine, target: Machine) -> int:
+        """Draw the network delay of a message between two machines, in ns."""
+        if source.is_client or target.is_client:
+            return self.paths.client_time((source if source.is_client else target).rng)
+        return self.paths.time(source.zone, target.zone, source.rng)
 
-    def reaches(self, one: Machine, other: Machine) -> bool:
-        """Tell whether a message gets there."""
-        return one.near or other.near or self.paths.reaches(one.zone, other.zone)
+    def reaches(self, source: Machine, target: Machine) -> bool:
+        """Return whether the path from one machine to another works."""
+        return source.is_client or target.is_client or self.paths.reaches(source.zone, target.zone)
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -268,8 +268,10 @@
 def test_a_descriptor_that_is_never_closed_is_reported(monkeypatch: pytest.MonkeyPatch):
     from scaledeal.lab.hosts.relay.reactor import Process
 
-    original = Process.gives_back
-    monkeypatch.setattr(Process, "gives_back", lambda process: original(process) if process.held % 7 else None)
+    original = Process.close_descriptor
+    monkeypatch.setattr(
+        Process, "close_descriptor", lambda process: original(process) if process.open_descriptors % 7 else None
+    )
     violation = run(day(), "relay").violation
     assert violation is not None and violation.rule == "owners", violation
 
