--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -1,8 +1,8 @@
-"""Starts the real relay many times, each on a reactor of its own, among simulated peers, and does to it what befalls.
+"""Runs many instances of the real relay among simulated peers, and starts, signals and kills them.
 
-The program is ``scaledeal.net.relay.Relay``, unchanged. Its configuration is the document that the platform would
-write; SIGTERM and SIGHUP are the calls that its signal handlers make. An upgrade needs Unix sockets and descriptors
-that are handed over, which are not simulated: a scenario with one is refused here.
+The program is ``scaledeal.net.relay.Relay``, unchanged, each instance on a reactor of its own. Its configuration is the
+document that the platform would write; SIGTERM and SIGHUP are the calls that its signal handlers make. An upgrade needs
+Unix sockets and the handover of descriptors, which are not simulated: a scenario with one is refused here.
 """
 
 from __future__ import annotations
@@ -14,7 +14,13 @@
 
 from scaledeal.hcl import Fault, FileError
 from scaledeal.lab.hosts.module import BalancerFactory, document_for
-from scaledeal.lab.hosts.relay.peers import STOOD, BadEnd, ClientEnd, DirectoryListener, TileListener
+from scaledeal.lab.hosts.relay.peers import (
+    INITIAL_DEADLINE_NS,
+    ClientEnd,
+    DirectoryListener,
+    InvalidClientEnd,
+    TileListener,
+)
 from scaledeal.lab.hosts.relay.reactor import INITIAL_DESCRIPTORS, Process, SimReactor
 from scaledeal.lab.hosts.relay.sockets import End, Machine, Net
 from scaledeal.lab.world.clients import Client
@@ -32,9 +38,9 @@
 MS = 1_000_000
 SECOND = 1000 * MS
 DISCOVERY = ("10.2.0.1", 8500)
-TERM = 3700 * MS  # from SIGTERM until SIGKILL
-STOPS = 300 * MS  # after SIGTERM for which new connections still come
-BAD = (
+STOP_TIMEOUT_NS = 3700 * MS  # from SIGTERM to SIGKILL; more than the longest deadline of padova, 3 s
+FRONT_NOTICE_NS = 300 * MS  # from SIGTERM until the front stops sending new connections
+INVALID_REQUESTS = (
     b"",
     b"OPEN half",
     b"NONSENSE\r\n",
@@ -53,11 +59,11 @@
         self.fleet, self.reactor = fleet, reactor
 
     def monotonic(self) -> int:
-        """Return the run's time; a clock that starts at 0 would look like one that was never set."""
+        """Return the simulated time, offset by a second: a clock that starts at 0 would look as if it was never set."""
         return self.fleet.kernel.now + SECOND
 
     def unix(self) -> int:
-        """Return the run's time as Unix time."""
+        """Return the simulated time as Unix time, in ns."""
         return self.fleet.kernel.now + EPOCH_MS * MS
 
     def port(self, clients: bool, port: int, factory: Any, backlog: int, host: str, reactor: Reactor) -> Port:
@@ -67,47 +73,47 @@
         return cast(Port, simulated.Port(self.reactor, host, port, factory, backlog))
 
 
-class Running:
-    """One start of one relay."""
+class RelayProcess:
+    """One process of a relay, from one start to its end."""
 
-    def __init__(self, host: RelayHost, door: RelayBackend, start: int) -> None:
-        self.host, self.door, self.start = host, door, start
+    def __init__(self, host: RelayHost, backend: RelayBackend, start: int) -> None:
+        self.host, self.backend, self.start = host, backend, start
         fleet = host.fleet
-        self.draw = fleet.streams.of("relay", door.name, start)
-        self.machine = host.machines[door.number]
+        self.rng = fleet.streams.of("relay", backend.name, start)
+        self.machine = host.machines[backend.number]
         cost = int(fleet.day.relays.event * 1000 / fleet.day.relays.cores)
         self.process = Process(host.net, self.machine, cost, fleet.day.relays.sockets, self.crashed)
-        self.reactor = SimReactor(host.net, self.process, host.address(door)[0])
-        self.reactor.stopped = self.exits
+        self.reactor = SimReactor(host.net, self.process, host.address(backend)[0])
+        self.reactor.stopped = self.on_exit
         self.relay: Relay | None = None
-        self.process.call_soon(self._begin)
+        self.process.call_soon(self._start_program)
 
     @property
     def alive(self) -> bool:
-        """Tell whether the process runs."""
+        """Return whether the process is running."""
         return self.process.alive
 
-    def serves(self) -> bool:
-        """Tell whether it takes clients."""
+    def is_serving(self) -> bool:
+        """Return whether the relay accepts clients."""
         return self.relay is not None and self.relay.service.stage is Stage.SERVING
 
-    def crashed(self, why: BaseException) -> None:
-        """Hear that the program failed."""
+    def crashed(self, error: BaseException) -> None:
+        """Handle an exception that reached the loop: report a crash and kill the process."""
         fleet = self.host.fleet
-        fleet.checker.relay_crashed(self.door.name, fleet.kernel.now, f"{type(why).__name__}: {why}")
-        self.host.kill(self.door.number)
+        fleet.checker.relay_crashed(self.backend.name, fleet.kernel.now, f"{type(error).__name__}: {error}")
+        self.host.kill(self.backend.number)
 
-    def exits(self) -> None:
-        """Hear that the program ended by itself."""
+    def on_exit(self) -> None:
+        """Handle the exit of the program."""
         if self.alive:
-            self.host.exited(self)
+            self.host.on_relay_exit(self)
 
-    def ends(self) -> None:
-        """End the process at once."""
+    def end(self) -> None:
+        """End the process at once, and with it all its sockets."""
         self.process.alive = False
         self.host.net.kill(self.machine)
 
-    def _begin(self) -> None:
+    def _start_program(self) -> None:
         system = SimSystem(self.host.fleet, self.reactor)
         self.relay = Relay(cast(Reactor, self.reactor), self.host.config(self), system)
         if self.host.factory is not Balancer:
@@ -119,243 +125,264 @@
 
 
 class RelayHost:
-    """All relays of a run, and everybody who speaks with them."""
+    """All relays of a run, and the peers that they talk to."""
 
     def __init__(self, fleet: Fleet, factory: BalancerFactory = Balancer) -> None:
         self.factory = factory
         if any(trouble.name == "upgrade" for trouble in fleet.day.trouble):
-            raise FileError([Fault(0, 'trouble["upgrade"]', "needs sockets handed over: play it on the host module")])
+            raise FileError([Fault(0, 'trouble["upgrade"]', "needs handover of sockets: run it on the host module")])
         self.fleet = fleet
         self.net = Net(fleet.kernel, fleet.paths, fleet.day.network.segment)
-        self.clients: dict[str, Client] = {}  # by the id of their present connection
-        self.ends: dict[str, ClientEnd] = {}
-        self.machines = [self._machine(self.address(door)[0], door.name, door.zone) for door in fleet.backends]
-        self._crowd = self._machine("10.9.0.1", "clients", 0, True)
+        self.clients: dict[str, Client] = {}  # by the id of their current connection
+        self.client_ends: dict[str, ClientEnd] = {}
+        self.machines = [
+            self._add_machine(self.address(backend)[0], backend.name, backend.zone) for backend in fleet.backends
+        ]
+        self.client_machine = self._add_machine("10.9.0.1", "clients", 0, True)
         self.servers: dict[str, Machine] = {}
-        self.sent_away: set[str] = set()  # ids of connections that a draining server ended politely
+        self.sent_away: set[str] = set()  # ids of connections that a draining server ended with a move
         self.starts = 0
-        self.running: list[Running] = []
-        DirectoryListener(self, self.net, self._machine(DISCOVERY[0], "discovery", 0), DISCOVERY)
+        self.relay_processes: list[RelayProcess] = []
+        DirectoryListener(self, self.net, self._add_machine(DISCOVERY[0], "discovery", 0), DISCOVERY)
         for server in fleet.servers.values():
-            self._serve(server)
-        fleet.on_server_start = self._serve
-        self.running = [self._start(door) for door in fleet.backends]
+            self._start_listener(server)
+        fleet.on_server_start = self._start_listener
+        self.relay_processes = [self._start_relay(backend) for backend in fleet.backends]
         fleet.attach(self)
-        self._stand()
+        self._connect_initial_clients()
         if fleet.day.clients.bad:
-            self._bad_draw = fleet.streams.of("bad clients")
-            self._bad_comes()
+            self._invalid_rng = fleet.streams.of("bad clients")
+            self._send_invalid_request()
 
     def run(self) -> None:
-        """Play the day, and what is still owed at its end; then look for what nobody owns."""
+        """Run the day, then on until every pending request is answered; then check for leaked resources."""
         fleet = self.fleet
         fleet.kernel.run(fleet.day.seconds)
         for server in fleet.servers.values():
             server.update()
         for client in list(fleet.population.clients.values()):
             client.done_at = min(client.done_at, fleet.kernel.now)
-        longest = max(each.deadline for each in fleet.day.classes)
-        fleet.kernel.run(fleet.day.seconds + longest + fleet.day.rules.slack + SECOND)
+        longest_deadline = max(cls.deadline for cls in fleet.day.classes)
+        fleet.kernel.run(fleet.day.seconds + longest_deadline + fleet.day.rules.slack + SECOND)
         for client in list(fleet.population.clients.values()):
             client._finish()
-        # Probe connections are kept until they were idle for as long as the settings say, and closed by then.
+        # Relays close idle probe connections only after the idle time of the settings.
         fleet.kernel.run(fleet.kernel.now + int(fleet.day.network.idle) + 7 * SECOND)
-        for each in self.running:
-            self._owners(each)
+        for relay_process in self.relay_processes:
+            self._check_leaks(relay_process)
 
     # Clients
 
     def ask(self, client: Client) -> bool:
-        """Bring a client's first line to a relay."""
-        door = self.fleet.front.pick(client.zone)
-        if door is None:
+        """Send a client's first line to a relay; return False if the front has no relay for it."""
+        backend = self.fleet.front.pick(client.zone)
+        if backend is None:
             return False
-        self._come(client, door, "")
+        self._connect(client, backend, "")
         return True
 
     def leave(self, client: Client) -> None:
-        """Have a client end what it asked for, or its connection."""
+        """End a client's request or connection."""
         self.clients.pop(client.id, None)
-        if (end := self.ends.get(client.id)) is not None:
-            end.leaves()
+        if (end := self.client_ends.get(client.id)) is not None:
+            end.leave()
 
-    def _come(self, client: Client, door: RelayBackend, at: str) -> None:
+    def _connect(self, client: Client, backend: RelayBackend, initial_server: str) -> None:
         id = client.id
         self.clients[id] = client
 
-        def up(end: End) -> None:
-            if client.id != id or client.finished or not (client.pending or at):
+        def on_connected(end: End) -> None:
+            if client.id != id or client.finished or not (client.pending or initial_server):
                 end.abort()
                 return
             fleet = self.fleet
             now = fleet.kernel.now
-            fleet.checker.request_written(id, door.name, now, now + (STOOD if at else client.class_settings.deadline))
-            self.ends[id] = ClientEnd(self, client, door, end, at)
+            fleet.checker.request_written(
+                id, backend.name, now, now + (INITIAL_DEADLINE_NS if initial_server else client.class_settings.deadline)
+            )
+            self.client_ends[id] = ClientEnd(self, client, backend, end, initial_server)
 
-        def failed() -> None:
+        def on_refused() -> None:
             if client.id == id and not client.finished:
                 client.on_connect_failed()
 
-        self.net.dial(self._crowd, "10.9.0.1", self.address(door), up, failed)
+        self.net.dial(self.client_machine, "10.9.0.1", self.address(backend), on_connected, on_refused)
 
-    def _stand(self) -> None:
-        """Have the clients of before the run come with the names of their servers, as the platform does."""
-        draw = self.fleet.streams.of("standing")
+    def _connect_initial_clients(self) -> None:
+        """Connect the clients of before the run; each names its server, as the platform does."""
+        rng = self.fleet.streams.of("standing")
         clients = self.fleet.population.start()
-        places = place_initial_connections(
+        server_by_client = place_initial_connections(
             clients, self.fleet.live(), self.fleet.day.servers.group_cost * self.fleet.population.mean_load
         )
         for client in clients:
-            door = self.fleet.front.pick(client.zone)
-            if door is None or client.number not in places:
+            backend = self.fleet.front.pick(client.zone)
+            if backend is None or client.number not in server_by_client:
                 continue
             client.id, client.pending = f"c{client.number}.0", True
             self.fleet.kernel.after(
-                int(draw.random() * 100 * MS) + 20 * MS,
-                lambda c=client, d=door, s=places[client.number].name: self._come(c, d, s),  # type: ignore[misc]
+                int(rng.random() * 100 * MS) + 20 * MS,
+                lambda c=client, b=backend, s=server_by_client[client.number].name: self._connect(c, b, s),  # type: ignore[misc]
             )
 
-    def _bad_comes(self) -> None:
+    def _send_invalid_request(self) -> None:
         if self.fleet.kernel.now >= self.fleet.day.seconds:
-            return  # guards against one that came just before the look at what is left
-        draw = self._bad_draw
-        door = self.fleet.front.pick(0)
-        data = BAD[int(draw.integers(len(BAD)))]
-        if door is not None:
-            self.net.dial(self._crowd, "10.9.0.1", self.address(door), lambda end: self._bad(end, data), lambda: None)
-        self.fleet.kernel.after(int(float(draw.exponential(1 / self.fleet.day.clients.bad)) * SECOND), self._bad_comes)
+            return  # a later one could still be open at the check for leaked resources
+        rng = self._invalid_rng
+        backend = self.fleet.front.pick(0)
+        data = INVALID_REQUESTS[int(rng.integers(len(INVALID_REQUESTS)))]
+        if backend is not None:
+            self.net.dial(
+                self.client_machine,
+                "10.9.0.1",
+                self.address(backend),
+                lambda end: self._connect_invalid_client(end, data),
+                lambda: None,
+            )
+        self.fleet.kernel.after(
+            int(float(rng.exponential(1 / self.fleet.day.clients.bad)) * SECOND), self._send_invalid_request
+        )
 
-    def _bad(self, end: End, data: bytes) -> None:
-        bad = BadEnd(end, data)
-        self.fleet.kernel.after(8 * SECOND, lambda: None if bad.over else bad.abort())
+    def _connect_invalid_client(self, end: End, data: bytes) -> None:
+        invalid_client = InvalidClientEnd(end, data)
+        self.fleet.kernel.after(8 * SECOND, lambda: None if invalid_client.has_ended else invalid_client.abort())
 
-    # What peers ask
+    # Called by peers
 
     def relay_at(self, address: tuple[str, int]) -> str:
-        """Return the name of the relay that a connection comes from."""
+        """Return the name of the relay that has an address; an empty string if none has it."""
         machine = self.net.machine_at(address)
         return machine.name if machine is not None else ""
 
     def zone_of(self, relay: str) -> int:
-        """Return a relay's zone."""
-        return next((door.zone for door in self.fleet.backends if door.name == relay), -1)
+        """Return a relay's zone, or -1 for an unknown relay."""
+        return next((backend.zone for backend in self.fleet.backends if backend.name == relay), -1)
 
-    def held_at(self, id: str) -> bool:
-        """Tell whether a server that answers holds a connection."""
-        case = self.fleet.checker.requests.get(id)
-        server = self.fleet.servers.get(case.open_at) if case is not None else None
+    def is_held(self, id: str) -> bool:
+        """Return whether a connection is held by a server that is not stalled."""
+        request = self.fleet.checker.requests.get(id)
+        server = self.fleet.servers.get(request.open_at) if request is not None else None
         return server is not None and id in server.connections and not server.is_stalled()
 
-    def alive(self, door: RelayBackend) -> bool:
-        """Tell whether a relay's process runs."""
-        return self.running[door.number].alive
+    def alive(self, backend: RelayBackend) -> bool:
+        """Return whether a relay's process is running."""
+        return self.relay_processes[backend.number].alive
 
-    def took(self, door: RelayBackend) -> bool:
-        """Tell whether a relay was there to take requests."""
-        return self.running[door.number].relay is not None
+    def has_started(self, backend: RelayBackend) -> bool:
+        """Return whether a relay's program has started, and so could accept requests."""
+        return self.relay_processes[backend.number].relay is not None
 
-    def address(self, door: RelayBackend) -> tuple[str, int]:
-        """Return where a relay listens."""
-        return f"10.3.{door.number // 200}.{door.number % 200 + 1}", 9000
+    def address(self, backend: RelayBackend) -> tuple[str, int]:
+        """Return the address that a relay listens on."""
+        return f"10.3.{backend.number // 200}.{backend.number % 200 + 1}", 9000
 
     # Relays
 
     def kill(self, number: int) -> None:
-        """End a relay at once; it starts again, and the front sees either only later."""
-        running = self.running[number]
-        if not running.alive:
+        """Kill a relay at once; it starts again later, and the front notices its end and its start with a delay."""
+        relay_process = self.relay_processes[number]
+        if not relay_process.alive:
             return
-        self.fleet.checker.relay_died(running.door.name, self.fleet.kernel.now)
-        running.ends()
+        self.fleet.checker.relay_died(relay_process.backend.name, self.fleet.kernel.now)
+        relay_process.end()
         low, high = self.fleet.day.relays.notice
         self.fleet.kernel.after(
-            int(running.draw.uniform(low, high) if low < high else low), lambda: self._notice(running)
+            int(relay_process.rng.uniform(low, high) if low < high else low),
+            lambda: self._remove_from_rotation(relay_process),
         )
-        self._start_later(running)
+        self._schedule_start(relay_process)
 
     def restart(self, number: int) -> None:
-        """Send SIGTERM; SIGKILL comes after the longest deadline and more; then it starts again."""
-        running = self.running[number]
-        if not running.alive or running.relay is None:
+        """Send SIGTERM, and SIGKILL if the process still runs after ``STOP_TIMEOUT_NS``; then start it again."""
+        relay_process = self.relay_processes[number]
+        if not relay_process.alive or relay_process.relay is None:
             return
-        relay = running.relay
-        running.process.call_soon(relay.drain)
-        self.fleet.kernel.after(STOPS, lambda: setattr(running.door, "in_rotation", False))
-        self.fleet.kernel.after(TERM, lambda: self.kill(number) if running.alive else None)
+        relay = relay_process.relay
+        relay_process.process.call_soon(relay.drain)
+        self.fleet.kernel.after(FRONT_NOTICE_NS, lambda: setattr(relay_process.backend, "in_rotation", False))
+        self.fleet.kernel.after(STOP_TIMEOUT_NS, lambda: self.kill(number) if relay_process.alive else None)
 
     def upgrade(self, number: int) -> None:
-        """Never: such a scenario is refused."""
+        """Do nothing: a scenario with an upgrade is refused."""
 
     def reload(self, number: int) -> None:
-        """Send SIGHUP: the configuration is read again."""
-        running = self.running[number]
-        if running.alive and running.relay is not None:
-            running.process.call_soon(running.relay.reload)
-
-    def exited(self, running: Running) -> None:
-        """Hear that a relay ended by itself, as it was told."""
-        running.ends()
-        self.fleet.checker.relay_died(running.door.name, self.fleet.kernel.now)
-        self._start_later(running)
-
-    def config(self, running: Running) -> Config:
-        """Return what a relay is told at its start, as the platform would."""
-        fleet, door = self.fleet, running.door
-        told = document_for(fleet, door)
-        known = [entry for entry in fleet.directory.entries.values() if entry.status != "left"]
+        """Send SIGHUP: the relay reads its configuration again."""
+        relay_process = self.relay_processes[number]
+        if relay_process.alive and relay_process.relay is not None:
+            relay_process.process.call_soon(relay_process.relay.reload)
+
+    def on_relay_exit(self, relay_process: RelayProcess) -> None:
+        """Handle the exit of a relay's program, and start it again later."""
+        relay_process.end()
+        self.fleet.checker.relay_died(relay_process.backend.name, self.fleet.kernel.now)
+        self._schedule_start(relay_process)
+
+    def config(self, relay_process: RelayProcess) -> Config:
+        """Return the configuration that the platform would give to a relay at its start."""
+        fleet, backend = self.fleet, relay_process.backend
+        document = document_for(fleet, backend)
+        listed = [entry for entry in fleet.directory.entries.values() if entry.status != "left"]
         endpoints = tuple(
-            Endpoint(each.name, each.address, each.zone, each.group, cast(Any, each.status), each.weight, each.since_ms)
-            for each in known
+            Endpoint(
+                entry.name,
+                entry.address,
+                entry.zone,
+                entry.group,
+                cast(Any, entry.status),
+                entry.weight,
+                entry.since_ms,
+            )
+            for entry in listed
         )
-        for entry in known:
+        for entry in listed:
             fleet.checker.discovery_entry_received(
-                door.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now
+                backend.name, entry.name, entry.status, entry.since_ms > 0, fleet.kernel.now
             )
-        host, port = self.address(door)
+        host, port = self.address(backend)
         return Config(
-            door.name,
+            backend.name,
             Address(host, port),
             Address(*DISCOVERY),
             None,
             "",
             None,
-            int(running.draw.integers(1 << 62)),
+            int(relay_process.rng.integers(1 << 62)),
             fleet.day.relays.sockets,
             Roster(fleet.directory.index, True, endpoints),
-            told,
-            told.settings(),
+            document,
+            document.settings(),
         )
 
-    def _notice(self, running: Running) -> None:
-        if self.running[running.door.number] is running:
-            running.door.in_rotation = False
+    def _remove_from_rotation(self, relay_process: RelayProcess) -> None:
+        if self.relay_processes[relay_process.backend.number] is relay_process:
+            relay_process.backend.in_rotation = False
 
-    def _start_later(self, running: Running) -> None:
+    def _schedule_start(self, relay_process: RelayProcess) -> None:
         low, high = self.fleet.day.relays.start
-        wait = int(running.draw.uniform(low, high) if low < high else low)
-        self.fleet.kernel.after(wait, lambda: self._again(running.door))
-
-    def _again(self, door: RelayBackend) -> None:
-        self.running[door.number] = self._start(door)
-        self._admit(door)
-
-    def _admit(self, door: RelayBackend) -> None:
-        """Have the front send clients once the relay says that it serves."""
-        running = self.running[door.number]
-        if running.serves():
-            door.in_rotation = True
-        elif running.alive:
-            self.fleet.kernel.after(100 * MS, lambda: self._admit(door))
-
-    def _start(self, door: RelayBackend) -> Running:
+        wait = int(relay_process.rng.uniform(low, high) if low < high else low)
+        self.fleet.kernel.after(wait, lambda: self._start_again(relay_process.backend))
+
+    def _start_again(self, backend: RelayBackend) -> None:
+        self.relay_processes[backend.number] = self._start_relay(backend)
+        self._admit(backend)
+
+    def _admit(self, backend: RelayBackend) -> None:
+        """Put a relay in rotation once it accepts clients."""
+        relay_process = self.relay_processes[backend.number]
+        if relay_process.is_serving():
+            backend.in_rotation = True
+        elif relay_process.alive:
+            self.fleet.kernel.after(100 * MS, lambda: self._admit(backend))
+
+    def _start_relay(self, backend: RelayBackend) -> RelayProcess:
         self.starts += 1
-        return Running(self, door, self.starts)
+        return RelayProcess(self, backend, self.starts)
 
     # Servers
 
-    def _serve(self, server: TileServer) -> None:
+    def _start_listener(self, server: TileServer) -> None:
         host, _, port = self.fleet.address(server.name).rpartition(":")
-        machine = self.servers[server.name] = self._machine(host, server.name, server.zone)
+        machine = self.servers[server.name] = self._add_machine(host, server.name, server.zone)
         TileListener(self, server, machine, (host, int(port)))
 
         def died(silently: bool) -> None:
@@ -365,32 +392,32 @@
 
         server.on_death = died
 
-    def _machine(self, host: str, name: str, zone: int, near: bool = False) -> Machine:
-        machine = Machine(name, zone, self.fleet.streams.of("machine", name), near)
+    def _add_machine(self, host: str, name: str, zone: int, is_client: bool = False) -> Machine:
+        machine = Machine(name, zone, self.fleet.streams.of("machine", name), is_client)
         self.net.add_machine(host, machine)
         return machine
 
-    def _owners(self, running: Running) -> None:
-        """Look for descriptors and buffers that nobody gave back."""
-        if not running.alive or running.relay is None:
+    def _check_leaks(self, relay_process: RelayProcess) -> None:
+        """Report descriptors, transactions, requests and buffers that a relay has not released."""
+        if not relay_process.alive or relay_process.relay is None:
             return
-        fleet, relay, name = self.fleet, running.relay, running.door.name
-        listening = sum(each.machine is running.machine for each in self.net.listeners.values())
-        watching = 1  # the watch of the list
-        left = running.process.open_descriptors - INITIAL_DESCRIPTORS - listening - watching
-        fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
+        fleet, relay, name = self.fleet, relay_process.relay, relay_process.backend.name
+        listeners = sum(listener.machine is relay_process.machine for listener in self.net.listeners.values())
+        watches = 1  # the connection of the discovery watch
+        leaked = relay_process.process.open_descriptors - INITIAL_DESCRIPTORS - listeners - watches
+        fleet.checker.resources_left(name, "descriptors", max(0, leaked), fleet.kernel.now)
         fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
         fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.requests), fleet.kernel.now)
         fleet.checker.resources_left(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
 
 
 @contextlib.contextmanager
-def quiet() -> Iterator[None]:
-    """Have two hundred relays say nothing in the log of the laboratory's own process, while a run lasts."""
+def relay_logs_silenced() -> Iterator[None]:
+    """Silence the log of the relays, which run in this process by the hundred, for the duration of a run."""
     log = logging.getLogger("scaledeal")
-    before = log.level
+    level = log.level
     log.setLevel(logging.CRITICAL)
     try:
         yield
     finally:
-        log.setLevel(before)
+        log.setLevel(level)
--- a/scaledeal/lab/hunt/case.py
+++ b/scaledeal/lab/hunt/case.py
@@ -9,7 +9,7 @@
 
 from scaledeal.hcl import Duration, Span, Times
 from scaledeal.lab.hosts.module import BalancerFactory
-from scaledeal.lab.hosts.relay.host import quiet
+from scaledeal.lab.hosts.relay.host import relay_logs_silenced
 from scaledeal.lab.kernel import RunawayError
 from scaledeal.lab.runs.play import HostName, hosted
 from scaledeal.lab.scenario.types import Scenario
@@ -59,7 +59,7 @@
     """Play a case: return the rule that it breaks first, if any, and its figure."""
     fleet = Fleet(case.day, case.seed, True, case.shuffle)
     try:
-        with quiet():
+        with relay_logs_silenced():
             hosted(fleet, case.host, factory).run()
     except BrokenRuleError as broken:
         return broken.violation, 0.0
--- a/scaledeal/lab/runs/play.py
+++ b/scaledeal/lab/runs/play.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from scaledeal.lab.hosts.module import BalancerFactory, ModuleHost
-from scaledeal.lab.hosts.relay.host import RelayHost, quiet
+from scaledeal.lab.hosts.relay.host import RelayHost, relay_logs_silenced
 from scaledeal.lab.kernel import RunawayError
 from scaledeal.lab.scenario.reading import load_text
 from scaledeal.lab.scenario.types import Scenario
@@ -114,7 +114,7 @@
     fleet = Fleet(day, job.seed, job.stop, job.shuffle)
     error = ""
     try:
-        with quiet():
+        with relay_logs_silenced():
             host = hosted(fleet, job.host, factory)
             watch(fleet)
             host.run()
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -14,7 +14,7 @@
 from scaledeal.hcl import FileError
 from scaledeal.lab.hosts.module import ModuleHost
 from scaledeal.lab.hosts.relay import peers
-from scaledeal.lab.hosts.relay.host import RelayHost, quiet
+from scaledeal.lab.hosts.relay.host import RelayHost, relay_logs_silenced
 from scaledeal.lab.runs import Job, Variant, play
 from scaledeal.lab.runs.play import module_from
 from scaledeal.lab.scenario import bundled_scenarios, load
@@ -43,7 +43,7 @@
     fleet = Fleet(scenario, seed, True, shuffle)
     violation = None
     try:
-        with quiet():
+        with relay_logs_silenced():
             HOSTS[host](fleet, module_from(source) if source else Balancer).run()
     except BrokenRuleError as error:
         violation = error.violation
@@ -250,8 +250,12 @@
 
 
 def test_an_altered_line_is_reported(monkeypatch: pytest.MonkeyPatch):
-    say = peers.TileSeat.say
-    monkeypatch.setattr(peers.TileSeat, "say", lambda seat, line: say(seat, b"SAME 99" if line == b"SAME 2" else line))
+    write_line = peers.TileConnection.write_line
+    monkeypatch.setattr(
+        peers.TileConnection,
+        "write_line",
+        lambda connection, line: write_line(connection, b"SAME 99" if line == b"SAME 2" else line),
+    )
     violation = run(day(), "relay").violation
     assert violation is not None and violation.rule == "lines", violation
 
