--- a/scaledeal/lab/hosts/module.py
+++ b/scaledeal/lab/hosts/module.py
@@ -108,8 +108,8 @@
                 self._fail_after_dial_timeout()
             return
         low, high = relay.fleet.day.servers.handshakes
-        trips = low if low == high else float(relay.rng.uniform(low, high))
-        kernel.after(int(one_way * (2 * trips + 1)), self._on_arrival)
+        round_trips = low if low == high else float(relay.rng.uniform(low, high))
+        kernel.after(int(one_way * (2 * round_trips + 1)), self._on_arrival)
 
     def end(self, result: api.Result) -> None:
         """End the attempt and report the result to the relay; a second call does nothing."""
@@ -173,10 +173,10 @@
 class ModuleRelay:
     """One relay: a balancer, its requests, its discovery index, and its core."""
 
-    def __init__(self, host: ModuleHost, backend: RelayBackend, start: int) -> None:
+    def __init__(self, host: ModuleHost, backend: RelayBackend, start_number: int) -> None:
         self.host, self.fleet, self.backend = host, host.fleet, backend
         day = self.fleet.day
-        self.rng = self.fleet.streams.of("relay", backend.name, start)
+        self.rng = self.fleet.streams.of("relay", backend.name, start_number)
         settings = document_for(self.fleet, backend).settings()
         self.balancer = host.factory(settings, int(self.rng.integers(1 << 62)))
         self.requests: dict[str, ClientRequest] = {}
@@ -460,7 +460,7 @@
             self.post(api.ClientGone(request.name))
             self._move(api.Move(request.name))
 
-    # Inside
+    # Internal methods
 
     def delay_to(self, server: TileServer) -> int:
         """Draw the network delay of a message between this relay and a server, in ns."""
@@ -490,7 +490,7 @@
         self.fleet, self.factory = fleet, factory
         # Each client's relay and request, by the client's number.
         self.requests_by_client: dict[int, tuple[ModuleRelay, ClientRequest]] = {}
-        self.starts = 0
+        self.start_count = 0
         self.relays = [self._start(backend) for backend in fleet.backends]
         fleet.attach(self)
         self._add_initial_connections()
@@ -625,8 +625,8 @@
         self.fleet.kernel.after(wait, start)
 
     def _start(self, backend: RelayBackend) -> ModuleRelay:
-        self.starts += 1
-        relay = ModuleRelay(self, backend, self.starts)
+        self.start_count += 1
+        relay = ModuleRelay(self, backend, self.start_count)
         directory = self.fleet.directory
         listed = tuple(entry for entry in directory.entries.values() if entry.status != "left")
         relay.index = directory.index
--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -37,7 +37,7 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-DISCOVERY = ("10.2.0.1", 8500)
+DISCOVERY_ADDRESS = ("10.2.0.1", 8500)
 STOP_TIMEOUT_NS = 3700 * MS  # from SIGTERM to SIGKILL; more than the longest deadline of padova, 3 s
 FRONT_NOTICE_NS = 300 * MS  # from SIGTERM until the front stops sending new connections
 INVALID_REQUESTS = (
@@ -76,10 +76,10 @@
 class RelayProcess:
     """One process of a relay, from one start to its end."""
 
-    def __init__(self, host: RelayHost, backend: RelayBackend, start: int) -> None:
-        self.host, self.backend, self.start = host, backend, start
+    def __init__(self, host: RelayHost, backend: RelayBackend, start_number: int) -> None:
+        self.host, self.backend, self.start_number = host, backend, start_number
         fleet = host.fleet
-        self.rng = fleet.streams.of("relay", backend.name, start)
+        self.rng = fleet.streams.of("relay", backend.name, start_number)
         self.machine = host.machines[backend.number]
         cost = int(fleet.day.relays.event * 1000 / fleet.day.relays.cores)
         self.process = Process(host.net, self.machine, cost, fleet.day.relays.sockets, self.crashed)
@@ -141,9 +141,9 @@
         self.client_machine = self._add_machine("10.9.0.1", "clients", 0, True)
         self.servers: dict[str, Machine] = {}
         self.sent_away: set[str] = set()  # ids of connections that a draining server ended with a move
-        self.starts = 0
+        self.start_count = 0
         self.relay_processes: list[RelayProcess] = []
-        DirectoryListener(self, self.net, self._add_machine(DISCOVERY[0], "discovery", 0), DISCOVERY)
+        DirectoryListener(self, self.net, self._add_machine(DISCOVERY_ADDRESS[0], "discovery", 0), DISCOVERY_ADDRESS)
         for server in fleet.servers.values():
             self._start_listener(server)
         fleet.on_server_start = self._start_listener
@@ -342,7 +342,7 @@
         return Config(
             backend.name,
             Address(host, port),
-            Address(*DISCOVERY),
+            Address(*DISCOVERY_ADDRESS),
             None,
             "",
             None,
@@ -364,19 +364,19 @@
 
     def _start_again(self, backend: RelayBackend) -> None:
         self.relay_processes[backend.number] = self._start_relay(backend)
-        self._admit(backend)
+        self._add_to_rotation_when_serving(backend)
 
-    def _admit(self, backend: RelayBackend) -> None:
+    def _add_to_rotation_when_serving(self, backend: RelayBackend) -> None:
         """Put a relay in rotation once it accepts clients."""
         relay_process = self.relay_processes[backend.number]
         if relay_process.is_serving():
             backend.in_rotation = True
         elif relay_process.alive:
-            self.fleet.kernel.after(100 * MS, lambda: self._admit(backend))
+            self.fleet.kernel.after(100 * MS, lambda: self._add_to_rotation_when_serving(backend))
 
     def _start_relay(self, backend: RelayBackend) -> RelayProcess:
-        self.starts += 1
-        return RelayProcess(self, backend, self.starts)
+        self.start_count += 1
+        return RelayProcess(self, backend, self.start_count)
 
     # Servers
 
--- a/scaledeal/lab/hosts/relay/peers.py
+++ b/scaledeal/lab/hosts/relay/peers.py
@@ -43,11 +43,11 @@
 
     # Overridden by subclasses
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         """Handle a received line, without its line end."""
 
-    def ended(self, broke: bool) -> None:
-        """Handle the end of the connection by the other end; ``broke``: by a reset."""
+    def on_end(self, was_broken: bool) -> None:
+        """Handle the end of the connection by the other end; ``was_broken``: by a reset."""
 
     # Interface EndOwner
 
@@ -67,7 +67,7 @@
             *lines, self.partial = (self.partial + data).split(b"\r\n")
             for line in lines:
                 if not self.has_ended:
-                    self.line(line)
+                    self.on_line(line)
 
     def writable(self) -> None:
         """Do nothing: written lines are short enough never to wait for room."""
@@ -82,23 +82,23 @@
             self.end.send(line + b"\r\n")
 
     def close(self) -> None:
-        """Close the connection, without a call of ``ended``."""
+        """Close the connection, without a call of ``on_end``."""
         self.has_ended = True
         self.end.owner = None
         self.end.close()
 
     def abort(self) -> None:
-        """Reset the connection, without a call of ``ended``."""
+        """Reset the connection, without a call of ``on_end``."""
         self.has_ended = True
         self.end.owner = None
         self.end.abort()
 
-    def _end(self, broke: bool) -> None:
+    def _end(self, was_broken: bool) -> None:
         if not self.has_ended:
             self.has_ended = True
             self.end.owner = None
             self.end.close()
-            self.ended(broke)
+            self.on_end(was_broken)
 
 
 class TileConnection(LineEnd):
@@ -114,7 +114,7 @@
         assert end.peer is not None
         end.peer.on_closed = self._on_relay_closed
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         """Handle a line of the relay."""
         if self.connection is not None:
             self._on_message(line)
@@ -126,7 +126,7 @@
             self.write_line(b"SYNTAX")
             self.host.fleet.checker.line_received("wire", self.host.fleet.kernel.now, 0, False)
 
-    def ended(self, broke: bool) -> None:
+    def on_end(self, was_broken: bool) -> None:
         """Handle the end of the connection by the relay."""
         if self.connection is not None:
             self.server.leave(self.connection)
@@ -167,7 +167,7 @@
         """Reset the connection."""
         self.abort()
 
-    # Inside
+    # Internal methods
 
     def _probe(self, command: bytes) -> None:
         self.host.fleet.service.count("probes", self.host.fleet.kernel.now)
@@ -383,7 +383,7 @@
         self.is_initial = bool(initial_server)
         self.write_line(f"OPEN {self.id} {client.key} {fields}".encode())
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         """Handle a line of the relay."""
         word, _, rest = line.partition(b" ")
         if self.established:
@@ -393,7 +393,7 @@
         else:
             self._on_answer(word, rest)
 
-    def ended(self, broke: bool) -> None:
+    def on_end(self, was_broken: bool) -> None:
         """Handle the end of the connection by the relay."""
         self._stop_messages()
         self.host.client_ends.pop(self.id, None)
@@ -483,6 +483,6 @@
         if data:
             end.send(data)
 
-    def line(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         """Handle the relay's answer: close the connection."""
         self.close()
--- a/scaledeal/lab/hosts/relay/reactor.py
+++ b/scaledeal/lab/hosts/relay/reactor.py
@@ -399,7 +399,7 @@
         )
 
     def stopConnecting(self) -> None:  # noqa: N802
-        """Abandon the attempt; the factory is told that it failed."""
+        """Abandon the attempt, and report a failure to the factory."""
         self._on_failed(error.UserError())
 
     def disconnect(self) -> None:
--- a/scaledeal/lab/hosts/relay/sockets.py
+++ b/scaledeal/lab/hosts/relay/sockets.py
@@ -68,7 +68,7 @@
         return 0 if self.closed or self.broken or self.fin_sent else WINDOW_BYTES - self.unread_bytes
 
     def send(self, data: bytes) -> int:
-        """Write; return how many bytes were accepted. Raise BrokenPipeError if nobody can read them."""
+        """Write; return how many bytes were accepted. Raise BrokenPipeError if it is closed for writing."""
         if self.closed or self.broken or self.fin_sent:
             raise BrokenPipeError
         data = data[: self.room()]
@@ -128,7 +128,7 @@
         elif self.owner is not None and (self.inbox or self.fin_received):
             self.owner.readable()
 
-    # Inside
+    # Internal methods
 
     def _send_to_peer(self, call: Callable[[], None]) -> None:
         peer = self.peer
@@ -299,7 +299,7 @@
         self.listeners: dict[Address, Listener] = {}
         self.machines: dict[str, Machine] = {}  # by host address
         self.ends: dict[Machine, set[End]] = {}
-        self._ports = 40_000
+        self._last_port = 40_000
 
     def add_machine(self, host: str, machine: Machine) -> None:
         """Give a machine an address; a machine that had it loses it."""
@@ -326,8 +326,8 @@
         on_refused: Callable[[], None],
     ) -> Dial:
         """Open a connection; ``on_connected`` or ``on_refused`` is called, or neither if no answer comes."""
-        self._ports += 1
-        return Dial(self, machine, (host, self._ports), remote, on_connected, on_refused)
+        self._last_port += 1
+        return Dial(self, machine, (host, self._last_port), remote, on_connected, on_refused)
 
     def pair(self, source: Machine, target: Machine, local: Address, remote: Address) -> tuple[End, End]:
         """Create the two ends of a connection."""
@@ -344,7 +344,7 @@
 
     def kill(self, machine: Machine) -> None:
         """Close all listeners and reset all connections of a machine, as its kernel does when its programs die."""
-        for listener in [known for known in self.listeners.values() if known.machine is machine]:
+        for listener in [candidate for candidate in self.listeners.values() if candidate.machine is machine]:
             listener.close()
         for end in sorted(self.ends.get(machine, ()), key=lambda e: (e.local, e.remote)):
             end.owner = None
