--- a/scaledeal/lab/soak/__init__.py
+++ b/scaledeal/lab/soak/__init__.py
@@ -1,5 +1,5 @@
-"""The fault soak: a fleet of real processes on loopback, overlapping faults, and an oracle over what crossed sockets.
+"""The fault soak: runs a fleet of real processes on loopback under overlapping faults and checks their socket traffic.
 
-May import the rest of the laboratory and the standard library; nothing of the relay imports it. Part of a rehearsal,
-not of a relay in service.
+May import the rest of the laboratory and the standard library; no module of the relay imports it. It is used in tests
+only and is not part of a relay in service.
 """
--- a/scaledeal/lab/soak/history.py
+++ b/scaledeal/lab/soak/history.py
@@ -1,7 +1,7 @@
-"""What crossed the sockets during a soak, as the oracle reads it; moments in seconds on the driver's monotonic clock.
+"""The record of a soak that the oracle reads; times are in seconds on the driver's monotonic clock.
 
-Requests are seen at the clients, attempts at the proxies between relays and servers, lists at discovery, and what was
-done to the processes by whoever did it. Nothing here comes from a relay's own word.
+Requests are recorded by the clients, attempts by the proxies between relays and servers, lists by discovery, and
+signals by the code that sends them. Apart from the log lines, nothing in it is reported by a relay.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 
 
 class ClosedBy(Enum):
-    """Who ended a client's connection."""
+    """The side that closed a client's connection."""
 
     CLIENT = "client"
     RELAY = "relay"
 
 
 class Request(msgspec.Struct):
-    """One client's connection from its first line to its end."""
+    """A client's connection, from its first line to its end."""
 
     id: str
     request_class: str
     relay: str
-    incarnation: int  # of the relay, when the client connected
-    wait: float  # seconds that the client waits for its answer
+    incarnation: int  # of the relay when the client connected
+    answer_timeout: float = msgspec.field(name="wait")  # the client's own time limit for its answer, in seconds
     sent: float | None = None  # when the last byte of the line was written
     answered: float | None = None
-    answer: str = ""  # the first line that came back
+    answer: str = ""  # the first line that the client received
     closed: float | None = None
     closed_by: ClosedBy | None = None
-    last_line: str = ""  # the last line that came back
-    asked_since: float | None = None  # since when a line of the client's has waited for its echo
-    longest_wait: float = 0.0  # seconds that such a line has waited, of those that were answered
+    last_line: str = ""  # the last line that the client received
+    asked_since: float | None = None  # when the line was sent whose echo is still awaited
+    longest_wait: float = 0.0  # for an echo, in seconds, among the lines that were echoed
 
     @property
-    def stood(self) -> bool:
-        """Tell whether it was brought up."""
+    def is_established(self) -> bool:
+        """Whether the connection was brought up."""
         return self.answer.startswith("UP ")
 
 
 class Attempt(msgspec.Struct):
-    """One connection on which a relay sent a first line, as the proxy before the server saw it."""
+    """A connection on which a relay sent a first line to a server, as seen by the proxy between them."""
 
     id: str
     relay: str
@@ -50,15 +50,15 @@
     server: str
     cell: int
     first_byte: float
-    whole: float | None = None  # when the line's last byte came
-    answered: float | None = None  # when the first answer was passed on to the relay
+    complete_at: float | None = msgspec.field(default=None, name="whole")  # when the first line's last byte arrived
+    answered: float | None = None  # when the first line of the answer was forwarded to the relay
     answer: str = ""
-    server_ended: float | None = None  # when the relay was shown that the server's side is over
-    relay_ended: float | None = None  # when the relay ended its sending or its connection
+    server_ended: float | None = None  # when the end of the server's side was forwarded to the relay
+    relay_ended: float | None = None  # when the relay half-closed or closed its connection
 
 
 class ListWritten(msgspec.Struct):
-    """Discovery wrote a list to a relay."""
+    """A list that discovery wrote to a relay."""
 
     relay: str
     incarnation: int
@@ -67,27 +67,27 @@
 
 
 class StateChange(msgspec.Struct):
-    """Discovery changed what it lists of a server."""
+    """A change of a server's entry in discovery."""
 
     server: str
     status: str
     at: float
     index: int
-    since: float = 0.0  # when the server started; 0 for long ago
+    since: float = 0.0  # Unix time of the server's start in seconds; 0 if it started long ago
 
 
 class Ending(msgspec.Struct):
-    """The end of one process of a relay."""
+    """The end of one relay process."""
 
     relay: str
     incarnation: int
-    told: float | None  # when SIGTERM was sent; none where it was killed at once
-    killed: float | None  # when SIGKILL was sent; none where it ended in time
+    sigterm_at: float | None = msgspec.field(name="told")  # None if the process was killed without SIGTERM or crashed
+    sigkill_at: float | None = msgspec.field(name="killed")  # None if the process ended by itself
     exit_code: int | None
 
 
 class StalledClient(msgspec.Struct):
-    """A client that was owed an end and got none in time."""
+    """A bad client that was neither answered nor closed in time."""
 
     relay: str
     incarnation: int
@@ -96,7 +96,7 @@
 
 
 class History(msgspec.Struct):
-    """All that the oracle reads."""
+    """The complete record of one soak."""
 
     requests: list[Request] = msgspec.field(default_factory=list)
     attempts: list[Attempt] = msgspec.field(default_factory=list)
@@ -104,7 +104,7 @@
     changes: list[StateChange] = msgspec.field(default_factory=list)
     endings: list[Ending] = msgspec.field(default_factory=list)
     stalled_clients: list[StalledClient] = msgspec.field(default_factory=list)
-    slow_starts: list[tuple[str, float]] = msgspec.field(default_factory=list)  # relays that took so many seconds
-    logs: dict[str, list[str]] = msgspec.field(default_factory=dict)  # by relay, the lines of all its processes
+    slow_starts: list[tuple[str, float]] = msgspec.field(default_factory=list)  # relay, seconds until it answered
+    logs: dict[str, list[str]] = msgspec.field(default_factory=dict)  # the log lines of all processes of each relay
     ended: float = 0.0
-    worst_lag: float = 0.0  # seconds by which the driver itself was late
+    worst_lag: float = 0.0  # largest delay of the driver itself, in seconds
--- a/scaledeal/lab/soak/oracle.py
+++ b/scaledeal/lab/soak/oracle.py
@@ -84,7 +84,7 @@
         for request in self.history.requests:
             found += self._of_answer(request)
             found += self._of_attempts(request)
-            if request.stood:
+            if request.is_established:
                 found += self._of_connection(request)
         return sorted(found, key=lambda violation: violation.at)
 
@@ -98,11 +98,13 @@
     def _of_answer(self, request: Request) -> Iterator[Violation]:
         if request.sent is None:
             return
-        due = request.sent + request.wait + ANSWER + self.slack
+        due = request.sent + request.answer_timeout + ANSWER + self.slack
         if request.answered is not None:
             if request.answered > due:
                 yield self._broken(Rule.LOST, request.answered, request, f"{request.answered - due:.2f} s too late")
-            elif request.stood and not any(each.answer == request.answer for each in self.attempts[request.id]):
+            elif request.is_established and not any(
+                each.answer == request.answer for each in self.attempts[request.id]
+            ):
                 yield self._broken(Rule.WRONG_ANSWER, request.answered, request, request.answer)
             return
         closed = request.closed if request.closed is not None else self.history.ended
@@ -127,13 +129,19 @@
                 yield self._broken(Rule.AFTER_ANSWER, began, request, f"{began - request.answered:.2f} s after")
             if (
                 before is not None
-                and attempt.whole is not None
-                and _out_until(before) > attempt.whole + 0.005 + self.extra
+                and attempt.complete_at is not None
+                and _out_until(before) > attempt.complete_at + 0.005 + self.extra
+            ):
+                yield self._broken(
+                    Rule.SECOND_COPY, attempt.complete_at, request, f"{attempt.server} and {before.server}"
+                )
+            if (
+                ran is not None
+                and attempt.complete_at is not None
+                and not self._may_repeat(semantics, request, ran, attempt)
             ):
-                yield self._broken(Rule.SECOND_COPY, attempt.whole, request, f"{attempt.server} and {before.server}")
-            if ran is not None and attempt.whole is not None and not self._may_repeat(semantics, request, ran, attempt):
-                yield self._broken(Rule.RAN_TWICE, attempt.whole, request, f"{ran.server}, then {attempt.server}")
-            if attempt.whole is not None:
+                yield self._broken(Rule.RAN_TWICE, attempt.complete_at, request, f"{ran.server}, then {attempt.server}")
+            if attempt.complete_at is not None:
                 before = attempt
                 if ran is None and not attempt.answer.startswith("BUSY"):
                     ran = attempt
@@ -207,11 +215,11 @@
             if change.status != "active" or not change.since:
                 continue
             came = sorted(
-                each.whole
+                each.complete_at
                 for each in self.history.attempts
                 if each.server == change.server
-                and each.whole is not None
-                and change.at <= each.whole <= change.at + warm_after
+                and each.complete_at is not None
+                and change.at <= each.complete_at <= change.at + warm_after
             )
             for index, moment in enumerate(came):
                 warm = rules["ColdFrom"] + (1 - rules["ColdFrom"]) * min(1.0, (moment - change.at) / warm_after)
@@ -226,12 +234,14 @@
 
     def _of_processes(self) -> Iterator[Violation]:
         for ending in self.history.endings:
-            if ending.told is None and ending.killed is None:
+            if ending.sigterm_at is None and ending.sigkill_at is None:
                 yield Violation(Rule.CRASH, self.history.ended, ending.relay, "", f"exit code {ending.exit_code}")
-            elif ending.told is not None and ending.killed is None and not self._ended_well(ending):
-                yield Violation(Rule.CRASH, ending.told, ending.relay, "", f"exit code {ending.exit_code} at its end")
-            elif ending.told is not None and ending.killed is not None:
-                yield from self._held(ending, ending.killed)
+            elif ending.sigterm_at is not None and ending.sigkill_at is None and not self._ended_well(ending):
+                yield Violation(
+                    Rule.CRASH, ending.sigterm_at, ending.relay, "", f"exit code {ending.exit_code} at its end"
+                )
+            elif ending.sigterm_at is not None and ending.sigkill_at is not None:
+                yield from self._held(ending, ending.sigkill_at)
         for client in self.history.stalled_clients:
             if client.seconds <= BAD_CLIENT + self.extra:
                 continue
@@ -266,7 +276,9 @@
         """Tell whether a relay's process was killed without a word by this moment."""
         ending = self.endings.get((relay, incarnation))
         return (
-            ending is not None and ending.told is None and (ending.killed is None or ending.killed <= by + self.slack)
+            ending is not None
+            and ending.sigterm_at is None
+            and (ending.sigkill_at is None or ending.sigkill_at <= by + self.slack)
         )
 
     def _broken(self, rule: Rule, at: float, request: Request, detail: str) -> Violation:
--- a/scaledeal/lab/soak/plan.py
+++ b/scaledeal/lab/soak/plan.py
@@ -51,7 +51,7 @@
 
     at: float  # seconds from the start of the traffic
     fault: Fault
-    lasts: float
+    duration: float = msgspec.field(name="lasts")  # seconds
     relays: tuple[int, ...] = ()
     servers: tuple[int, ...] = ()
     amount: float = 0.0  # a step in seconds, a share of calls, clients of a crowd
--- a/scaledeal/lab/soak/proxy.py
+++ b/scaledeal/lab/soak/proxy.py
@@ -169,7 +169,7 @@
     # The record
 
     def _note_first(self, data: bytes) -> None:
-        if self.attempt is not None and self.attempt.whole is not None:
+        if self.attempt is not None and self.attempt.complete_at is not None:
             return
         self.first += data
         if self.first.startswith(b"OPEN ") and self.attempt is None:
@@ -179,7 +179,7 @@
             link.record(self.attempt)
         if self.attempt is not None and END in self.first:
             self.attempt.id = self.first.split(b" ")[1].decode()
-            self.attempt.whole = self.link.now()
+            self.attempt.complete_at = self.link.now()
 
     def _note_answer(self, data: bytes) -> None:
         attempt = self.attempt
--- a/scaledeal/lab/soak/run.py
+++ b/scaledeal/lab/soak/run.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from scaledeal.lab.soak.client import Client, ClientBehavior, Target
-from scaledeal.lab.soak.faults import Faults
-from scaledeal.lab.soak.fleet import PROGRAM, Fleet
+from scaledeal.lab.soak.faults import FaultInjector
+from scaledeal.lab.soak.fleet import RELAY_COMMAND, Fleet
 from scaledeal.lab.soak.history import Request, StalledClient
 from scaledeal.lab.soak.oracle import BAD_CLIENT, Judge, Rule, Violation
 from scaledeal.lab.soak.plan import Plan
-from scaledeal.lab.soak.shim import build
+from scaledeal.lab.soak.shim import build_shim
 
 BEHAVIORS = {
     ClientBehavior.STAYS: 4,
@@ -87,11 +87,11 @@
         """Return the driver's time."""
         return time.monotonic()
 
-    def record(self, request: Request) -> None:
+    def record_request(self, request: Request) -> None:
         """Take a new request into the history."""
         self.fleet.history.requests.append(request)
 
-    def client_stalled(self, target: Target, seconds: float) -> None:
+    def record_stalled_client(self, target: Target, seconds: float) -> None:
         """Hear of a bad client that got neither answer nor close."""
         if seconds > BAD_CLIENT:
             stalled = StalledClient(target.relay, target.incarnation, self.now() - seconds, seconds)
@@ -105,8 +105,8 @@
         try:
             await self.fleet.start()
             self.fleet.history.worst_lag = 0.0  # the start of so many processes is no part of the judgement
-            faults = Faults(self.fleet, self._crowd)
-            played = [asyncio.create_task(faults.play(event)) for event in self.plan.events]
+            faults = FaultInjector(self.fleet, self._crowd)
+            played = [asyncio.create_task(faults.inject(event)) for event in self.plan.events]
             await self._traffic()
             await self._end_all(played)
         finally:
@@ -126,10 +126,10 @@
 
     async def _end_all(self, played: list[asyncio.Task[None]]) -> None:
         """Tell all relays to end in a series while clients go on, and wait for faults and processes."""
-        self.fleet.ending = True
+        self.fleet.stopping = True
         ends = []
         for relay in self.fleet.relays:
-            ends.append(asyncio.create_task(self.fleet.terminate(relay, anew=False)))
+            ends.append(asyncio.create_task(self.fleet.terminate(relay, restart=False)))
             for _ in range(3):
                 self._come()
                 await asyncio.sleep(LAST_SERIES / len(self.fleet.relays) / 3)
@@ -148,7 +148,7 @@
 
     async def _run(self, client: Client, tries: int) -> None:
         word = await client.run()
-        if word in ("BUSY", "MOVE") and tries > 0 and not self.fleet.ending:
+        if word in ("BUSY", "MOVE") and tries > 0 and not self.fleet.stopping:
             await asyncio.sleep(self.random.choice((0.0, 0.1, 0.5)))
             self._come(word == "MOVE", tries - 1, client.behavior)
 
@@ -192,19 +192,19 @@
 def _overlaps(plan: Plan) -> int:
     events = plan.events
     return sum(
-        first.at <= second.at <= first.at + max(first.lasts, 0.5)
+        first.at <= second.at <= first.at + max(first.duration, 0.5)
         for index, first in enumerate(events)
         for second in events[index + 1 :]
     )
 
 
-def run(plan: Plan, folder: Path, program: tuple[str, ...] = PROGRAM) -> Result:
+def run(plan: Plan, folder: Path, program: tuple[str, ...] = RELAY_COMMAND) -> Result:
     """Play a soak with its files in a folder of its own; raise ShimUnavailableError where the shim can't be built.
 
     ``program`` is the command that starts a relay.
     """
     folder.mkdir(parents=True, exist_ok=True)
-    library = build(folder)
+    library = build_shim(folder)
     return asyncio.run(_until_terminated(Soak(plan, folder, library, program)))
 
 
--- a/tests/shimmed.py
+++ b/tests/shimmed.py
@@ -9,15 +9,15 @@
 import pytest
 from test_relay_process import World
 
-from scaledeal.lab.soak.shim import Call, FaultControl, ShimUnavailableError, build
+from scaledeal.lab.soak.shim import Call, FaultControl, ShimUnavailableError, build_shim
 
 
 class ShimmedWorld(World):
     """A relay whose wall clock and system calls the test controls."""
 
     def __init__(self, folder: Path, sockets_fail: float) -> None:
-        self.faults = FaultControl(build(folder), folder / "faults", seed=7)
-        self.faults.fail(Call.SOCKET, sockets_fail)
+        self.faults = FaultControl(build_shim(folder), folder / "faults", seed=7)
+        self.faults.set_failure_share(Call.SOCKET, sockets_fail)
         super().__init__(folder)
 
     def run(self) -> None:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -34,7 +34,7 @@
     [Call.ACCEPT, Call.RECV, Call.SEND, Call.WAIT, Call.SHORT_RECV, Call.SHORT_SEND, Call.POLL_CHANGE, Call.OPTION],
 )
 def test_every_request_is_answered_while_a_call_fails(failing: ShimmedWorld, call: Call) -> None:
-    failing.faults.fail(call, FAILING)
+    failing.faults.set_failure_share(call, FAILING)
     for number in range(1, 41):
         client = failing.client(ask(number))
         server, first = failing.asked()
@@ -45,8 +45,8 @@
         assert server.read() == "M 1"
         client.close()
         server.close()
-    assert failing.faults.failed(call) > 20
-    failing.faults.sound()
+    assert failing.faults.failure_count(call) > 20
+    failing.faults.clear_failures()
     failing.process.terminate()
     _, log = failing.process.communicate(timeout=10)
     assert "Traceback" not in log and "Unhandled" not in log and "invariants: none violated" in log, log
@@ -54,7 +54,7 @@
 
 def test_a_start_waits_for_the_sockets_that_it_needs(tmp_path: Path) -> None:
     with shimmed(tmp_path, sockets_fail=0.7) as world:
-        assert world.port and world.faults.failed(Call.SOCKET) > 2
+        assert world.port and world.faults.failure_count(Call.SOCKET) > 2
 
 
 def test_a_new_configuration_is_read_again_after_a_shortage(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -35,7 +35,7 @@
     assert plans == [draw(seed) for seed in range(60)]
     assert all(LEAST <= plan.relays + plan.servers <= MOST for plan in plans)
     assert {event.fault for plan in plans for event in plan.events} == set(Fault)
-    assert all(event.lasts <= 0.15 for plan in plans for event in plan.events if event.fault is Fault.PAUSE)
+    assert all(event.duration <= 0.15 for plan in plans for event in plan.events if event.fault is Fault.PAUSE)
 
 
 def sound() -> History:
@@ -105,7 +105,7 @@
             h.attempts.pop(),
         )[0],
     ),
-    (Rule.DRAINING, lambda h: attempt(h, 1, first_byte=31.3, whole=31.3)),
+    (Rule.DRAINING, lambda h: attempt(h, 1, first_byte=31.3, complete_at=31.3)),
     (Rule.SLOW_START, crowd_at_a_cold_server),
     (Rule.STALLED, lambda h: request(h, asked_since=12.5)),
     (Rule.STALLED, lambda h: request(h, longest_wait=7.5)),
