--- a/scaledeal/cli/soak.py
+++ b/scaledeal/cli/soak.py
@@ -63,17 +63,17 @@
 
 
 def _play(seed: int, seconds: float, processes: int, folder: Path) -> Result:
-    from scaledeal.lab.soak.plan import draw
+    from scaledeal.lab.soak.plan import draw_plan
     from scaledeal.lab.soak.run import run
 
-    return run(draw(seed, seconds, processes), folder)
+    return run(draw_plan(seed, seconds, processes), folder)
 
 
 def _show(result: Result, as_json: bool) -> None:
     if as_json:
         typer.echo(msgspec.json.encode(result).decode())
         return
-    typer.echo(result.line())
+    typer.echo(result.summary())
     for violation in result.violations[:SHOWN]:
         typer.echo(f"  {violation.rule.value}: {violation.relay} {violation.request} {violation.detail}")
     if len(result.violations) > SHOWN:
--- a/scaledeal/lab/soak/faults.py
+++ b/scaledeal/lab/soak/faults.py
@@ -134,10 +134,10 @@
     async def _cut(self, event: Event) -> None:
         links = self.fleet.links(event.relays, event.servers)
         for link in links:
-            link.cut(True)
+            link.set_silent(True)
         await asyncio.sleep(event.duration)
         for link in links:
-            link.cut(False)
+            link.set_silent(False)
 
     async def _reset(self, event: Event) -> None:
         for link in self.fleet.links(servers=event.servers):
@@ -146,11 +146,11 @@
     async def _late(self, event: Event) -> None:
         links = self.fleet.links(servers=event.servers)
         for link in links:
-            link.come_up_late(True)
+            link.delay_connections(True)
         await asyncio.sleep(event.duration)
         for link in links:
             if not link.silent:
-                link.come_up_late(False)
+                link.delay_connections(False)
 
     async def _pieces(self, event: Event) -> None:
         links = self.fleet.links(servers=event.servers)
--- a/scaledeal/lab/soak/faultshim.c
+++ b/scaledeal/lab/soak/faultshim.c
@@ -1,8 +1,9 @@
 /*
  * faultshim: fault injection for one process, loaded with LD_PRELOAD.
  *
- * The file named by SCALEDEAL_FAULTS is mapped as one shared control page. Whoever holds the file can step the
- * process's wall clock and have its system calls fail, while it runs. Without the variable nothing changes.
+ * The file named by SCALEDEAL_FAULTS is mapped as one shared control page. A process that maps the same file can
+ * step this process's wall clock and make its system calls fail while it runs. If the variable is not set, all calls
+ * pass through unchanged.
  * The layout of struct control is repeated in scaledeal/lab/soak/shim.py.
  */
 #define _GNU_SOURCE
@@ -25,10 +26,10 @@
             CALL_WRITE, CALL_SYNC, CALL_POLL_CHANGE, CALL_OPTION, CALLS };
 
 struct control {
-    int64_t wall_step_ns;      /* added to what the wall clock tells */
-    uint64_t seed;             /* state of the random numbers */
+    int64_t wall_step_ns;      /* added to the time of the wall clock */
+    uint64_t seed;             /* state of the random number generator */
     uint32_t per_million[CALLS]; /* how many calls in a million fail, by enum call */
-    uint64_t failed[CALLS];    /* how many have failed so far */
+    uint64_t failed[CALLS];    /* number of failed calls so far, by enum call */
 };
 
 static struct control *control;
@@ -37,7 +38,7 @@
 {
     const char *path = getenv("SCALEDEAL_FAULTS");
     if (getenv("SCALEDEAL_DIES_WITH_PARENT") != NULL)
-        prctl(PR_SET_PDEATHSIG, SIGKILL); /* no relay outlives the driver of a soak */
+        prctl(PR_SET_PDEATHSIG, SIGKILL); /* so that no relay outlives the driver of a soak */
     if (path == NULL)
         return;
     int descriptor = open(path, O_RDWR | O_CLOEXEC);
@@ -81,31 +82,31 @@
     NEXT(clock_gettime);
     int result = next(clock, at);
     if (result == 0 && control != NULL && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t told = (int64_t)at->tv_sec * 1000000000 + at->tv_nsec + control->wall_step_ns;
-        at->tv_sec = told / 1000000000;
-        at->tv_nsec = told % 1000000000;
+        int64_t shifted_ns = (int64_t)at->tv_sec * 1000000000 + at->tv_nsec + control->wall_step_ns;
+        at->tv_sec = shifted_ns / 1000000000;
+        at->tv_nsec = shifted_ns % 1000000000;
     }
     return result;
 }
 
 int gettimeofday(struct timeval *restrict at, void *restrict zone)
 {
-    struct timespec told;
+    struct timespec now;
     (void)zone;
-    if (clock_gettime(CLOCK_REALTIME, &told) != 0)
+    if (clock_gettime(CLOCK_REALTIME, &now) != 0)
         return -1;
-    at->tv_sec = told.tv_sec;
-    at->tv_usec = told.tv_nsec / 1000;
+    at->tv_sec = now.tv_sec;
+    at->tv_usec = now.tv_nsec / 1000;
     return 0;
 }
 
 time_t time(time_t *at)
 {
-    struct timespec told;
-    clock_gettime(CLOCK_REALTIME, &told);
+    struct timespec now;
+    clock_gettime(CLOCK_REALTIME, &now);
     if (at != NULL)
-        *at = told.tv_sec;
-    return told.tv_sec;
+        *at = now.tv_sec;
+    return now.tv_sec;
 }
 
 int accept4(int descriptor, struct sockaddr *address, socklen_t *length, int flags)
@@ -154,14 +155,14 @@
     return next(descriptor, buffer, size > 1 && fails(CALL_SHORT_SEND) ? 1 + draw() % size : size, flags);
 }
 
-int epoll_wait(int descriptor, struct epoll_event *events, int most, int timeout)
+int epoll_wait(int descriptor, struct epoll_event *events, int max_events, int timeout)
 {
     NEXT(epoll_wait);
     if (fails(CALL_WAIT)) {
         errno = EINTR;
         return -1;
     }
-    return next(descriptor, events, most, timeout);
+    return next(descriptor, events, max_events, timeout);
 }
 
 int epoll_ctl(int descriptor, int operation, int target, struct epoll_event *event)
@@ -181,8 +182,8 @@
 
 static int on_disk(int descriptor)
 {
-    struct stat about;
-    return descriptor > 2 && fstat(descriptor, &about) == 0 && S_ISREG(about.st_mode);
+    struct stat status;
+    return descriptor > 2 && fstat(descriptor, &status) == 0 && S_ISREG(status.st_mode);
 }
 
 ssize_t write(int descriptor, const void *buffer, size_t size)
--- a/scaledeal/lab/soak/plan.py
+++ b/scaledeal/lab/soak/plan.py
@@ -1,4 +1,7 @@
-"""A soak drawn from its seed: the fleet's size, its settings, and faults that overlap; the same seed, the same plan."""
+"""Draws the plan of a soak from a seed: the fleet's size, its settings, and overlapping faults.
+
+The same seed always gives the same plan.
+"""
 
 from __future__ import annotations
 
@@ -8,30 +11,30 @@
 
 import msgspec
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 class Fault(Enum):
-    """What can go wrong; the targets are a relay, a server, both, or all."""
+    """A kind of fault; it affects relays, servers, links between them, or the whole fleet."""
 
     WALL_STEP = "wall_step"  # the relay's wall clock steps, several times
-    TERMINATE = "terminate"  # relays are told to end one after another, killed at the page's earliest, started anew
-    KILL = "kill"  # the relay is killed without a word
-    PAUSE = "pause"  # the relay is held up, for 0.15 s at most
+    TERMINATE = "terminate"  # relays are sent SIGTERM in turn, SIGKILL as early as the protocol allows, and restarted
+    KILL = "kill"  # the relay is sent SIGKILL without SIGTERM
+    PAUSE = "pause"  # the relay is stopped, for 0.15 s at most
     CALLS = "calls"  # the relay's system calls fail
-    RELOAD = "reload"  # a new configuration moves discovery
-    HANG = "hang"  # the server stops, and goes on later
-    CRASH = "crash"  # the server is killed, and returns cold
-    DRAIN = "drain"  # the server drains, leaves, and is replaced by a cold one
-    BAD_SERVER = "bad_server"  # the server answers badly
-    CUT = "cut"  # relays and servers do not reach each other, and connections are reset at the end of that
+    RELOAD = "reload"  # a new configuration changes the address of discovery
+    HANG = "hang"  # the server is stopped, and continued later
+    CRASH = "crash"  # the server is killed, and restarted cold
+    DRAIN = "drain"  # the server drains and leaves, and a cold one replaces it
+    BAD_SERVER = "bad_server"  # the server behaves as one of ``ServerBehavior``
+    CUT = "cut"  # no bytes pass between relays and servers; their connections are reset at the end
     RESET = "reset"  # all connections to the server are reset at once
-    LATE = "late"  # connections to the server come up late
-    PIECES = "pieces"  # bytes to and from the server come in pieces
+    LATE = "late"  # new connections to the server are established late
+    PIECES = "pieces"  # bytes to and from the server are forwarded in pieces
     DISCOVERY_DOWN = "discovery_down"
-    DISCOVERY_SILENT = "discovery_silent"  # open watches fall silent
+    DISCOVERY_SILENT = "discovery_silent"  # open watches are never answered
     DISCOVERY_SLOW = "discovery_slow"
-    CROWD = "crowd"  # many clients at once
+    CROWD = "crowd"  # many clients start at once
 
 
 class ServerBehavior(Enum):
@@ -40,56 +43,57 @@
     SOUND = "sound"
     ERRORS = "errors"
     BUSY = "busy"
-    SERVED = "served"  # BYE at once
-    HALF = "half"  # half a line, then a reset
-    ENDS = "ends"  # ends connections soon after they are up
-    SLOW = "slow"  # answers after a second
+    SERVED = "served"  # answers with BYE at once
+    HALF = "half"  # sends half a line, then resets the connection
+    ENDS = "ends"  # closes connections soon after they are established
+    SLOW = "slow"  # answers after 1 s
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One fault: when it begins, how long it lasts, and whom it befalls."""
+    """One fault: its start, its duration, and the relays and servers that it affects."""
 
     at: float  # seconds from the start of the traffic
     fault: Fault
     duration: float = msgspec.field(name="lasts")  # seconds
     relays: tuple[int, ...] = ()
     servers: tuple[int, ...] = ()
-    amount: float = 0.0  # a step in seconds, a share of calls, clients of a crowd
+    amount: float = 0.0  # seconds of a clock step, share of failing calls, or number of clients
     behavior: ServerBehavior = ServerBehavior.SOUND
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One soak."""
+    """The plan of one soak."""
 
     seed: int
-    seconds: float  # of traffic
+    seconds: float  # duration of the traffic
     relays: int
     servers: int
-    rate: float  # requests a second over the whole fleet
-    pushed: bool  # whether discovery is an agent that pushes
+    rate: float  # requests per second over the whole fleet
+    pushed: bool  # whether the settings declare discovery an agent that pushes
     settings: dict[str, Any]
     events: tuple[Event, ...]
 
     @property
     def longest_deadline(self) -> float:
-        """Return the longest deadline in seconds, as SIGKILL heeds it."""
-        return float(min(3.0, max(each["Deadline"] for each in self.settings["Classes"]) / 1e9))
+        """Return the longest deadline in seconds, at most 3 s, that the relays have before SIGKILL."""
+        return float(min(3.0, max(entry["Deadline"] for entry in self.settings["Classes"]) / 1e9))
 
 
 CLASSES = (("browse", "repeatable"), ("notes", "by_key"), ("order", "once"))
-DRAIN_GRACE = 1.0  # seconds
-LEAST, MOST = 10, 40  # processes
-HOUR = 3600.0
+DRAIN_GRACE_S = 1.0
+MIN_PROCESSES = 10
+MAX_PROCESSES = 40
+HOUR_S = 3600.0
 
 
-def draw(seed: int, seconds: float = 20.0, most: int = MOST) -> Plan:
-    """Draw a soak of ``seconds`` of traffic and at most ``most`` processes from its seed."""
+def draw_plan(seed: int, seconds: float = 20.0, max_processes: int = MAX_PROCESSES) -> Plan:
+    """Draw the plan of a soak with ``seconds`` of traffic and at most ``max_processes`` processes."""
     random = Random(seed)
-    processes = random.randint(LEAST, min(most, random.choice((16, 24, MOST))))
+    processes = random.randint(MIN_PROCESSES, min(max_processes, random.choice((16, 24, MAX_PROCESSES))))
     relays = random.randint(3, max(3, processes // 2))
     servers = processes - relays
     pushed = random.random() < 0.3
-    events = [_event(random, fault, seconds, relays, servers) for fault in _kinds(random)]
+    events = [_draw_event(random, fault, seconds, relays, servers) for fault in _draw_faults(random)]
     return Plan(
         seed,
         seconds,
@@ -97,28 +101,28 @@
         servers,
         random.uniform(15.0, 45.0),
         pushed,
-        _settings(random, relays, pushed),
+        _draw_settings(random, relays, pushed),
         tuple(sorted(events, key=lambda event: event.at)),
     )
 
 
-def _kinds(random: Random) -> list[Fault]:
-    """Return the faults of one soak: at least a restart and a stepped clock, and several more beside them."""
+def _draw_faults(random: Random) -> list[Fault]:
+    """Return the kinds of faults of one soak: a termination, a clock step, and 5 to 10 more."""
     always = [Fault.TERMINATE, Fault.WALL_STEP]
     return always + random.choices(list(Fault), k=random.randint(5, 10))
 
 
-def _settings(random: Random, relays: int, pushed: bool) -> dict[str, Any]:
+def _draw_settings(random: Random, relays: int, pushed: bool) -> dict[str, Any]:
     deadlines = {name: random.choice((800, 1200, 1800, 3000)) for name, _ in CLASSES}
     classes = [
         {
             "Name": name,
-            "Aim": deadlines[name] * MS // 3,
-            "Deadline": deadlines[name] * MS,
+            "Aim": deadlines[name] * NS_PER_MS // 3,
+            "Deadline": deadlines[name] * NS_PER_MS,
             "Worth": 2.0,
             "Semantics": semantics,
             "KeyScope": random.choice(("cell", "all")),
-            "Window": 2000 * MS,
+            "Window": 2000 * NS_PER_MS,
         }
         for name, semantics in CLASSES
     ]
@@ -128,36 +132,36 @@
             "Probing": True,
             "Cancelling": True,
             "RetryAfter": True,
-            "MaxRetryAfter": 1500 * MS,
+            "MaxRetryAfter": 1500 * NS_PER_MS,
             "MaxAttempts": 6,
-            "DialTimeout": 250 * MS,
-            "IdleClose": 5000 * MS,
+            "DialTimeout": 250 * NS_PER_MS,
+            "IdleClose": 5000 * NS_PER_MS,
         },
         "Report": {"Fields": ["fail_rate", "rif", "x0"], "Via": "probe"},
         "Discovery": "pushed" if pushed else "on_request",
         "FailureDomains": ["a", "b"],
         "Siblings": relays,
-        "Specifics": {"Groups": True, "MessageAim": [150 * MS] * len(CLASSES)},
+        "Specifics": {"Groups": True, "MessageAim": [150 * NS_PER_MS] * len(CLASSES)},
         "Weights": "rough",
         "Rules": {
-            "AskWithin": 10_000 * MS,
+            "AskWithin": 10_000 * NS_PER_MS,
             "ColdFrom": 0.3,
-            "DrainGrace": DRAIN_GRACE * 1e9,
-            "Fall": 1000 * MS,
+            "DrainGrace": DRAIN_GRACE_S * 1e9,
+            "Fall": 1000 * NS_PER_MS,
             "OverloadFactor": 3.0,
-            "WarmAfter": 5000 * MS,
+            "WarmAfter": 5000 * NS_PER_MS,
         },
     }
 
 
-def _event(random: Random, fault: Fault, seconds: float, relays: int, servers: int) -> Event:
+def _draw_event(random: Random, fault: Fault, seconds: float, relays: int, servers: int) -> Event:
     at = random.uniform(1.0, seconds * 0.8)
     one_relay = (random.randrange(relays),)
     few_relays = tuple(random.sample(range(relays), random.randint(1, relays)))
     few_servers = tuple(random.sample(range(servers), random.randint(1, max(1, servers // 3))))
     match fault:
         case Fault.WALL_STEP:
-            step = random.choice((-1, 1)) * random.choice((0.5, 2.5, 6.0, HOUR))
+            step = random.choice((-1, 1)) * random.choice((0.5, 2.5, 6.0, HOUR_S))
             return Event(at, fault, random.uniform(2.0, 8.0), few_relays, amount=step)
         case Fault.TERMINATE:
             series = tuple(random.sample(range(relays), random.randint(1, max(1, relays // 2))))
@@ -178,7 +182,9 @@
                 fault,
                 random.uniform(2.0, 6.0),
                 servers=few_servers,
-                behavior=random.choice([each for each in ServerBehavior if each is not ServerBehavior.SOUND]),
+                behavior=random.choice(
+                    [behavior for behavior in ServerBehavior if behavior is not ServerBehavior.SOUND]
+                ),
             )
         case Fault.CUT:
             return Event(at, fault, random.uniform(2.0, 8.0), few_relays, few_servers)
--- a/scaledeal/lab/soak/tile_server.py
+++ b/scaledeal/lab/soak/tile_server.py
@@ -1,7 +1,7 @@
-"""A stand-in tile server as a process of its own: ``python -m scaledeal.lab.soak.tile_server NAME``.
+"""A simulated tile server in a separate process: ``python -m scaledeal.lab.soak.tile_server NAME``.
 
-Prints its port, then takes the names of behaviors, one a line, on standard input; it ends with that. Speaks the lines
-of the protocol: first lines, probes, and an echo for every line of a connection that is up.
+It prints its port, then reads the names of behaviors from standard input, one per line, and exits when that ends. It
+speaks the line protocol: it answers first lines and probes, and echoes every line of an established connection.
 """
 
 from __future__ import annotations
@@ -14,101 +14,104 @@
 
 from scaledeal.lab.soak.plan import ServerBehavior
 
-END = b"\r\n"
-WORKS = 0.01  # seconds from a first line to its answer
-SLOW = 1.0  # and where the server is slow
-ENDS = 0.4  # seconds for which a connection stands where the server ends them
-CAPACITY = 40.0  # connections that count as a load of 1
+LINE_END = b"\r\n"
+ANSWER_DELAY_S = 0.01  # from a first line to its answer
+SLOW_ANSWER_DELAY_S = 1.0  # with ``ServerBehavior.SLOW``
+CONNECTION_LIFETIME_S = 0.4  # with ``ServerBehavior.ENDS``
+CAPACITY_CONNECTIONS = 40.0  # established connections that are reported as a load of 1
 
 
 class TileServer:
-    """Its behavior, and how many connections it holds."""
+    """The server's current behavior and its number of established connections."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.behavior = ServerBehavior.SOUND
-        self.standing = 0
-        self.receipts = count(1)
+        self.established_count = 0
+        self.connection_numbers = count(1)
 
     def report(self) -> bytes:
-        """Return a load report as a probe's answer carries it."""
-        return b"PONG eps=0.0,inflight=%d,x0=%.3f" % (self.standing, self.standing / CAPACITY)
+        """Return the answer to a STATS probe, with a load report."""
+        return b"PONG eps=0.0,inflight=%d,x0=%.3f" % (
+            self.established_count,
+            self.established_count / CAPACITY_CONNECTIONS,
+        )
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a relay's."""
+    """One connection from a relay."""
 
     def __init__(self, server: TileServer) -> None:
         self.server = server
-        self.part = b""
+        self.partial_line = b""
         self.transport: asyncio.Transport
-        self.asked = self.stands = False
+        self.first_line_received = self.established = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and disable Nagle's algorithm."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """Take what has come, line by line."""
-        *lines, self.part = (self.part + data).split(END)
+        """Split the received bytes into lines and handle each."""
+        *lines, self.partial_line = (self.partial_line + data).split(LINE_END)
         for line in lines:
-            self.line(line)
+            self.handle_line(line)
 
-    def line(self, line: bytes) -> None:
-        """Take one line."""
-        if self.stands:
-            self.say(line)
+    def handle_line(self, line: bytes) -> None:
+        """Echo, answer a probe, or schedule the answer to the first line; ignore later lines before that answer."""
+        if self.established:
+            self.write_line(line)
         elif line in (b"PING", b"STATS"):
-            self.say(self.server.report() if line == b"STATS" else b"PONG")
-        elif not self.asked:
-            self.asked = True
-            works = SLOW if self.server.behavior is ServerBehavior.SLOW else WORKS
-            asyncio.get_running_loop().call_later(works, self.answer)
-
-    def answer(self) -> None:
-        """Answer a first line as the behavior is."""
+            self.write_line(self.server.report() if line == b"STATS" else b"PONG")
+        elif not self.first_line_received:
+            self.first_line_received = True
+            delay = SLOW_ANSWER_DELAY_S if self.server.behavior is ServerBehavior.SLOW else ANSWER_DELAY_S
+            asyncio.get_running_loop().call_later(delay, self.answer_first_line)
+
+    def answer_first_line(self) -> None:
+        """Answer the first line according to the server's behavior."""
         if self.transport.is_closing():
             return
         match self.server.behavior:
             case ServerBehavior.ERRORS:
-                self.say(b"ERR")
+                self.write_line(b"ERR")
                 self.transport.close()
             case ServerBehavior.BUSY:
-                self.say(b"BUSY")
+                self.write_line(b"BUSY")
                 self.transport.close()
             case ServerBehavior.SERVED:
-                self.say(b"BYE")
+                self.write_line(b"BYE")
                 self.transport.close()
             case ServerBehavior.HALF:
                 self.transport.write(b"UP r")
                 self.reset()
             case behavior:
-                self.stands = True
-                self.server.standing += 1
-                self.say(b"UP %s-%d" % (self.server.name.encode(), next(self.server.receipts)))
+                self.established = True
+                self.server.established_count += 1
+                self.write_line(b"UP %s-%d" % (self.server.name.encode(), next(self.server.connection_numbers)))
                 if behavior is ServerBehavior.ENDS:
-                    asyncio.get_running_loop().call_later(ENDS, self.transport.close)
+                    asyncio.get_running_loop().call_later(CONNECTION_LIFETIME_S, self.transport.close)
 
-    def say(self, line: bytes) -> None:
+    def write_line(self, line: bytes) -> None:
         """Write one line."""
-        self.transport.write(line + END)
+        self.transport.write(line + LINE_END)
 
     def reset(self) -> None:
-        """Break the connection."""
+        """Reset the connection."""
         linger = struct.pack("ii", 1, 0)
         self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count it out."""
-        if self.stands:
-            self.server.standing -= 1
+        """Update the number of established connections."""
+        if self.established:
+            self.server.established_count -= 1
 
 
 async def serve(name: str) -> None:
-    """Serve until standard input ends."""
+    """Listen on a free port, print it, and serve until standard input ends."""
     loop, server = asyncio.get_running_loop(), TileServer(name)
     listener = await loop.create_server(lambda: Connection(server), "127.0.0.1", 0)
     print(listener.sockets[0].getsockname()[1], flush=True)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its plans, its oracle rule by rule, a mutant that it has to find, and a short seeded run of it."""
+"""The fault soak: its plans, every rule of its oracle, short seeded runs, and a run that must detect a mutant relay."""
 
 from __future__ import annotations
 
@@ -21,30 +21,30 @@
     StalledClient,
     StateChange,
 )
-from scaledeal.lab.soak.oracle import Judge, Rule
-from scaledeal.lab.soak.plan import LEAST, MOST, Event, Fault, Plan, draw
+from scaledeal.lab.soak.oracle import Oracle, Rule
+from scaledeal.lab.soak.plan import MAX_PROCESSES, MIN_PROCESSES, Event, Fault, Plan, draw_plan
 from scaledeal.lab.soak.run import run
 from scaledeal.lab.soak.shim import ShimUnavailableError
 
-PLAN = msgspec.structs.replace(draw(1), events=())
-CLASS = {entry["Semantics"]: entry["Name"] for entry in PLAN.settings["Classes"]}
+PLAN = msgspec.structs.replace(draw_plan(1), events=())
+CLASS_BY_SEMANTICS = {entry["Semantics"]: entry["Name"] for entry in PLAN.settings["Classes"]}
 
 
-def test_a_seed_gives_one_plan_of_processes_within_bounds_and_every_fault_is_drawn() -> None:
-    plans = [draw(seed) for seed in range(60)]
-    assert plans == [draw(seed) for seed in range(60)]
-    assert all(LEAST <= plan.relays + plan.servers <= MOST for plan in plans)
+def test_a_seed_always_draws_the_same_plan_within_bounds_and_all_faults_are_drawn() -> None:
+    plans = [draw_plan(seed) for seed in range(60)]
+    assert plans == [draw_plan(seed) for seed in range(60)]
+    assert all(MIN_PROCESSES <= plan.relays + plan.servers <= MAX_PROCESSES for plan in plans)
     assert {event.fault for plan in plans for event in plan.events} == set(Fault)
     assert all(event.duration <= 0.15 for plan in plans for event in plan.events if event.fault is Fault.PAUSE)
 
 
-def sound() -> History:
-    """Return one request that came up at its second attempt, and was moved in the end."""
+def sound_history() -> History:
+    """Return a history with one request, established at its second attempt and finally moved."""
     history = History(ended=100.0)
     history.requests.append(
         Request(
             "r",
-            CLASS["repeatable"],
+            CLASS_BY_SEMANTICS["repeatable"],
             "n0",
             1,
             1.0,
@@ -67,53 +67,59 @@
     return history
 
 
-def request(history: History, **changes: object) -> None:
+def change_request(history: History, **changes: object) -> None:
     history.requests[0] = msgspec.structs.replace(history.requests[0], **changes)
 
 
-def attempt(history: History, number: int, **changes: object) -> None:
+def change_attempt(history: History, number: int, **changes: object) -> None:
     history.attempts[number] = msgspec.structs.replace(history.attempts[number], **changes)
 
 
-def unanswered(history: History, by: ClosedBy | None = ClosedBy.RELAY, closed: float = 11.0) -> None:
-    request(history, answered=None, answer="", last_line="", closed=closed, closed_by=by)
+def leave_unanswered(history: History, by: ClosedBy | None = ClosedBy.RELAY, closed: float = 11.0) -> None:
+    change_request(history, answered=None, answer="", last_line="", closed=closed, closed_by=by)
 
 
-def crowd_at_a_cold_server(history: History) -> None:
+def overload_cold_server(history: History) -> None:
     history.changes.append(StateChange("s2", "active", 40.0, 6, since=1.0))
     history.attempts += [Attempt(f"x{n}", "n0", 1, "s2", 0, 40.1, 40.1 + n / 1000) for n in range(60)]
 
 
-BROKEN: list[tuple[Rule, Callable[[History], None]]] = [
-    (Rule.LOST, lambda h: unanswered(h)),
-    (Rule.LOST, lambda h: request(h, answered=11.7)),
-    (Rule.LOST, lambda h: unanswered(h, None, 90.0)),
-    (Rule.WRONG_ANSWER, lambda h: request(h, answer="UP s9-9")),
-    (Rule.AFTER_CLIENT_LEFT, lambda h: unanswered(h, ClosedBy.CLIENT, 10.02)),
-    (Rule.AFTER_ANSWER, lambda h: request(h, answered=10.05, answer="ERR")),
-    (Rule.SECOND_COPY, lambda h: attempt(h, 0, answered=None, answer="", server_ended=None, relay_ended=10.25)),
-    (Rule.RAN_TWICE, lambda h: (request(h, request_class=CLASS["once"]), attempt(h, 0, answer="ERR"))[0]),
+BREACHES: list[tuple[Rule, Callable[[History], None]]] = [
+    (Rule.LOST, lambda h: leave_unanswered(h)),
+    (Rule.LOST, lambda h: change_request(h, answered=11.7)),
+    (Rule.LOST, lambda h: leave_unanswered(h, None, 90.0)),
+    (Rule.WRONG_ANSWER, lambda h: change_request(h, answer="UP s9-9")),
+    (Rule.AFTER_CLIENT_LEFT, lambda h: leave_unanswered(h, ClosedBy.CLIENT, 10.02)),
+    (Rule.AFTER_ANSWER, lambda h: change_request(h, answered=10.05, answer="ERR")),
+    (Rule.SECOND_COPY, lambda h: change_attempt(h, 0, answered=None, answer="", server_ended=None, relay_ended=10.25)),
     (
         Rule.RAN_TWICE,
-        lambda h: (request(h, request_class=CLASS["by_key"]), attempt(h, 0, answer="ERR", first_byte=7.0, cell=1))[0],
+        lambda h: (change_request(h, request_class=CLASS_BY_SEMANTICS["once"]), change_attempt(h, 0, answer="ERR"))[0],
+    ),
+    (
+        Rule.RAN_TWICE,
+        lambda h: (
+            change_request(h, request_class=CLASS_BY_SEMANTICS["by_key"]),
+            change_attempt(h, 0, answer="ERR", first_byte=7.0, cell=1),
+        )[0],
     ),
     (
         Rule.UNSAFE_REFUSAL,
         lambda h: (
-            request(h, request_class=CLASS["once"], answer="BUSY", answered=10.2),
-            attempt(h, 0, answer="ERR"),
+            change_request(h, request_class=CLASS_BY_SEMANTICS["once"], answer="BUSY", answered=10.2),
+            change_attempt(h, 0, answer="ERR"),
             h.attempts.pop(),
         )[0],
     ),
-    (Rule.DRAINING, lambda h: attempt(h, 1, first_byte=31.3, complete_at=31.3)),
-    (Rule.SLOW_START, crowd_at_a_cold_server),
-    (Rule.STALLED, lambda h: request(h, asked_since=12.5)),
-    (Rule.STALLED, lambda h: request(h, longest_wait=7.5)),
-    (Rule.CUT, lambda h: request(h, last_line="M 4")),
-    (Rule.END_HELD_BACK, lambda h: attempt(h, 1, server_ended=18.0)),
+    (Rule.DRAINING, lambda h: change_attempt(h, 1, first_byte=31.3, complete_at=31.3)),
+    (Rule.SLOW_START, overload_cold_server),
+    (Rule.STALLED, lambda h: change_request(h, asked_since=12.5)),
+    (Rule.STALLED, lambda h: change_request(h, longest_wait=7.5)),
+    (Rule.CUT, lambda h: change_request(h, last_line="M 4")),
+    (Rule.END_HELD_BACK, lambda h: change_attempt(h, 1, server_ended=18.0)),
     (
         Rule.HELD_AT_KILL,
-        lambda h: (request(h, closed=64.0), h.endings.__setitem__(0, Ending("n0", 1, 60.0, 63.7, -9)))[0],
+        lambda h: (change_request(h, closed=64.0), h.endings.__setitem__(0, Ending("n0", 1, 60.0, 63.7, -9)))[0],
     ),
     (Rule.STALLED_CLIENT, lambda h: h.stalled_clients.append(StalledClient("n0", 1, 12.0, 3.4))),
     (Rule.CRASH, lambda h: h.endings.__setitem__(0, Ending("n0", 1, None, None, 1))),
@@ -125,54 +131,56 @@
 ]
 
 
-def test_a_sound_history_breaks_no_rule_and_every_rule_has_a_broken_one() -> None:
-    assert Judge(PLAN, sound()).violations() == []
-    assert {rule for rule, _ in BROKEN} == set(Rule)
+def test_a_sound_history_breaks_no_rule_and_every_rule_has_a_breaking_history() -> None:
+    assert Oracle(PLAN, sound_history()).violations() == []
+    assert {rule for rule, _ in BREACHES} == set(Rule)
 
 
-@pytest.mark.parametrize(("rule", "breaks"), BROKEN, ids=[f"{rule.name}-{n}" for n, (rule, _) in enumerate(BROKEN)])
-def test_the_oracle_finds_each_rule_broken(rule: Rule, breaks: Callable[[History], None]) -> None:
-    history = sound()
-    breaks(history)
-    assert rule in {violation.rule for violation in Judge(PLAN, history).violations()}
+@pytest.mark.parametrize(
+    ("rule", "break_rule"), BREACHES, ids=[f"{rule.name}-{n}" for n, (rule, _) in enumerate(BREACHES)]
+)
+def test_the_oracle_finds_the_breach_of_each_rule(rule: Rule, break_rule: Callable[[History], None]) -> None:
+    history = sound_history()
+    break_rule(history)
+    assert rule in {violation.rule for violation in Oracle(PLAN, history).violations()}
 
 
-def test_what_a_killed_relay_left_is_excused_and_a_slow_driver_says_nothing() -> None:
-    history = sound()
-    unanswered(history)
+def test_requests_of_a_killed_relay_are_excused_and_a_slow_driver_makes_the_result_void() -> None:
+    history = sound_history()
+    leave_unanswered(history)
     history.endings[0] = Ending("n0", 1, None, 10.9, -9)
-    assert Judge(PLAN, history).violations() == [] and not Judge(PLAN, history).void()
+    assert Oracle(PLAN, history).violations() == [] and not Oracle(PLAN, history).void_reason()
     history.worst_lag = 1.2
-    assert "too slow a machine" in Judge(PLAN, history).void()
+    assert "too slow a machine" in Oracle(PLAN, history).void_reason()
 
 
-def test_a_driver_that_was_late_judges_with_wider_limits_and_still_finds_what_was_lost() -> None:
-    history = sound()
-    request(history, answered=11.9)
+def test_limits_are_wider_by_the_lag_of_the_driver_and_a_lost_request_is_still_found() -> None:
+    history = sound_history()
+    change_request(history, answered=11.9)
     history.worst_lag = 0.4
-    assert Judge(PLAN, history).violations() == [] and not Judge(PLAN, history).void()
+    assert Oracle(PLAN, history).violations() == [] and not Oracle(PLAN, history).void_reason()
     history.worst_lag = 0.2
-    assert [violation.rule for violation in Judge(PLAN, history).violations()] == [Rule.LOST]
-    unanswered(history)
+    assert [violation.rule for violation in Oracle(PLAN, history).violations()] == [Rule.LOST]
+    leave_unanswered(history)
     history.worst_lag = 0.4
-    assert [violation.rule for violation in Judge(PLAN, history).violations()] == [Rule.LOST]
+    assert [violation.rule for violation in Oracle(PLAN, history).violations()] == [Rule.LOST]
 
 
-def play(plan: Plan, folder: Path, *program: str) -> dict[Rule, int]:
+def run_soak(plan: Plan, folder: Path, *command: str) -> dict[Rule, int]:
     try:
-        result = run(plan, folder, program) if program else run(plan, folder)
+        result = run(plan, folder, command) if command else run(plan, folder)
     except ShimUnavailableError as error:
         pytest.skip(str(error))
-    assert not result.void and result.requests > 100, result.line()
-    return result.broken()
+    assert not result.void and result.requests > 100, result.summary()
+    return result.violation_counts()
 
 
 @pytest.mark.parametrize("seed", [3, 5, 13])
-def test_a_short_soak_holds(seed: int, tmp_path: Path) -> None:
-    assert play(draw(seed, seconds=10.0, most=14), tmp_path) == {}
+def test_a_short_soak_breaks_no_rule(seed: int, tmp_path: Path) -> None:
+    assert run_soak(draw_plan(seed, seconds=10.0, max_processes=14), tmp_path) == {}
 
 
-WALL_CLOCK_TIMERS = """
+WALL_CLOCK_TIMERS_MAIN = """
 import sys, time
 from scaledeal.net.monotonic_reactor import MonotonicReactor
 MonotonicReactor.seconds = staticmethod(time.time)
@@ -181,14 +189,14 @@
 """
 
 
-def test_the_soak_finds_a_relay_whose_timers_run_on_the_wall_clock(tmp_path: Path) -> None:
+def test_the_soak_detects_a_relay_whose_timers_use_the_wall_clock(tmp_path: Path) -> None:
     events = (Event(2.0, Fault.HANG, 5.0, servers=(0, 1, 2)), Event(2.5, Fault.WALL_STEP, 9.0, (0, 1, 2), amount=-60.0))
-    plan = msgspec.structs.replace(draw(2, seconds=9.0, most=10), events=events)
-    broken = play(plan, tmp_path, sys.executable, "-c", WALL_CLOCK_TIMERS)
-    assert Rule.LOST in broken or Rule.STALLED in broken, broken
+    plan = msgspec.structs.replace(draw_plan(2, seconds=9.0, max_processes=10), events=events)
+    breaches = run_soak(plan, tmp_path, sys.executable, "-c", WALL_CLOCK_TIMERS_MAIN)
+    assert Rule.LOST in breaches or Rule.STALLED in breaches, breaches
 
 
-def test_bad_options_are_told(tmp_path: Path) -> None:
+def test_bad_options_exit_with_code_2(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     for options in (["--seconds", "1"], ["--processes", "99"], ["--folder", str(tmp_path / "file" / "x")]):
         assert CliRunner().invoke(app, ["soak", *options]).exit_code == 2
