--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -39,7 +39,7 @@
 def one(scenario: str, host: str, over: str) -> dict[str, Any]:
     """Play one run here."""
     began = time.process_time()
-    outcome = play(Job(text(scenario), 1, host, Variant("it", "", over), stop=False))  # type: ignore[arg-type]
+    outcome = play(Job(text(scenario), 1, host, Variant("it", "", over), stop_at_violation=False))  # type: ignore[arg-type]
     took = time.process_time() - began
     counts = outcome.figures["counts"]
     decisions = counts["clients"] + counts["again"] + counts["standing"]
--- a/scaledeal/cli/lab.py
+++ b/scaledeal/cli/lab.py
@@ -166,9 +166,9 @@
     variants = [_variant(each) for each in variant]
     if len({each.name for each in variants}) < len(variants):
         raise _refuse("--variant: two of one name; write NAME=... before them")
-    jobs = sweeps.jobs_of([_text(each) for each in scenarios], _seeds(seeds), variants, host)
+    jobs = sweeps.make_jobs([_text(each) for each in scenarios], _seeds(seeds), variants, host)
     outcomes = _played(jobs, store, experiment, workers)
-    for row in sweeps.rows_of(outcomes, [each.name for each in variants], lambda each: each.score):
+    for row in sweeps.compare_variants(outcomes, [each.name for each in variants], lambda each: each.score):
         broken = f"; broken rules in {row.broken[0]} and {row.broken[1]} runs" if any(row.broken) else ""
         typer.echo(f"{row.scenario}: {row.second} {row.verdict}{broken}")
     for each in [outcome for outcome in outcomes if outcome.error]:
@@ -188,7 +188,7 @@
     """List, show or export what was played."""
     kept = _store(store, must_exist=True)
     if show:
-        outcome = kept.whole(show)
+        outcome = kept.find_by_prefix(show)
         if outcome is None:
             raise _refuse(f"{show}: no run's key begins so, or more than one's")
         _show(outcome, "")
@@ -196,7 +196,7 @@
         with export.open("w", newline="") as file:
             typer.echo(f"{kept.export(file, experiment)} runs written to {export}")
     else:
-        for row in kept.listed(experiment):
+        for row in kept.list_runs(experiment):
             state = row["error"] or (f"{row['violations']} broken rules" if row["violations"] else "")
             typer.echo(
                 f"{row['key']}  {row['experiment']:10} {row['title']:14} seed {row['seed']:<6} {row['host']:6} "
@@ -271,10 +271,10 @@
 
 
 def _variant(told: str) -> Variant:
-    from scaledeal.lab.experiments.sweep import VariantError, variant_of
+    from scaledeal.lab.experiments.sweep import VariantError, parse_variant
 
     try:
-        return variant_of(told)
+        return parse_variant(told)
     except VariantError as error:
         raise _refuse(f"--variant: {error}") from None
 
--- a/scaledeal/lab/experiments/sweep.py
+++ b/scaledeal/lab/experiments/sweep.py
@@ -1,4 +1,4 @@
-"""Plays scenarios x seeds x variants, as far as the store has them not, and compares the variants."""
+"""Plays scenarios x seeds x variants, except the runs that are already stored, and compares the variants."""
 
 from __future__ import annotations
 
@@ -9,62 +9,73 @@
 import msgspec
 
 from scaledeal.lab.experiments.statistics import Verdict, compare
-from scaledeal.lab.runs.play import HostName, Job, Outcome, Variant, module_from
+from scaledeal.lab.runs.play import HostName, Job, Outcome, Variant, load_balancer
 from scaledeal.lab.runs.store import Store
-from scaledeal.lab.runs.worker import in_parallel
+from scaledeal.lab.runs.worker import play_in_parallel
 
-MODULE = "scaledeal/policy.py"
+DECISION_MODULE = "scaledeal/policy.py"
 
 
 class VariantError(Exception):
-    """A variant that can't be had; the text says why."""
+    """A variant is badly specified or cannot be loaded; the message gives the reason."""
 
 
-class Row(msgspec.Struct, frozen=True):
-    """Two variants on one scenario, or on all together."""
+class ComparisonRow(msgspec.Struct, frozen=True):
+    """The comparison of two variants on one scenario, or on all scenarios together."""
 
     scenario: str
     first: str
     second: str
     verdict: Verdict
-    broken: tuple[int, int]  # runs of each with a broken rule or no end
+    broken: tuple[int, int]  # number of runs of each variant with a broken rule
 
 
-def variant_of(told: str) -> Variant:
-    """Read ``now``, ``rev:REVISION``, ``file:PATH`` or ``set:HCL``, each with ``NAME=`` before it if wanted."""
-    name, equals, rest = told.partition("=")
+def parse_variant(specification: str) -> Variant:
+    """Parse ``now``, ``rev:REVISION``, ``file:PATH`` or ``set:HCL``, each optionally prefixed with ``NAME=``.
+
+    In ``set:HCL`` a semicolon stands for a line break. Raise VariantError if the variant cannot be loaded.
+    """
+    name, equals, rest = specification.partition("=")
     if not equals or ":" in name:
-        name, rest = told, told
-    kind, _, what = rest.partition(":")
+        name, rest = specification, specification
+    kind, _, argument = rest.partition(":")
     if rest == "now":
         return Variant(name)
     if kind == "rev":
-        found = subprocess.run(["git", "show", f"{what}:{MODULE}"], capture_output=True, text=True)
-        if found.returncode:
-            raise VariantError(f"{told}: {found.stderr.strip() or 'no such revision'}")
-        return _checked(Variant(name, found.stdout), told)
+        shown = subprocess.run(["git", "show", f"{argument}:{DECISION_MODULE}"], capture_output=True, text=True)
+        if shown.returncode:
+            raise VariantError(f"{specification}: {shown.stderr.strip() or 'no such revision'}")
+        return _check_source(Variant(name, shown.stdout), specification)
     if kind == "file":
         try:
-            return _checked(Variant(name, Path(what).read_text("utf-8")), told)
+            return _check_source(Variant(name, Path(argument).read_text("utf-8")), specification)
         except OSError as error:
-            raise VariantError(f"{told}: {error.strerror}") from None
+            raise VariantError(f"{specification}: {error.strerror}") from None
     if kind == "set":
-        return Variant(name, "", what.replace(";", "\n"))
-    raise VariantError(f"{told}: one of now, rev:REVISION, file:PATH or set:HCL was expected")
+        return Variant(name, "", argument.replace(";", "\n"))
+    raise VariantError(f"{specification}: one of now, rev:REVISION, file:PATH or set:HCL was expected")
 
 
-def _checked(variant: Variant, told: str) -> Variant:
+def _check_source(variant: Variant, specification: str) -> Variant:
     try:
-        module_from(variant.source)
+        load_balancer(variant.source)
     except ValueError as error:
-        raise VariantError(f"{told}: {error}") from None
+        raise VariantError(f"{specification}: {error}") from None
     return variant
 
 
-def jobs_of(texts: Iterable[str], seeds: Iterable[int], variants: Iterable[Variant], host: HostName) -> list[Job]:
-    """Return all runs of an experiment, pairs close together: what is stopped half way has whole pairs."""
+def make_jobs(texts: Iterable[str], seeds: Iterable[int], variants: Iterable[Variant], host: HostName) -> list[Job]:
+    """Return all jobs of an experiment.
+
+    The variants of one seed follow each other, so that a sweep stopped half way has mostly complete pairs.
+    """
     seeds, variants = list(seeds), list(variants)
-    return [Job(text, seed, host, variant, stop=False) for text in texts for seed in seeds for variant in variants]
+    return [
+        Job(text, seed, host, variant, stop_at_violation=False)
+        for text in texts
+        for seed in seeds
+        for variant in variants
+    ]
 
 
 def sweep(
@@ -72,34 +83,42 @@
     store: Store,
     experiment: str,
     workers: int,
-    stopped: Callable[[], bool] = lambda: False,
+    should_stop: Callable[[], bool] = lambda: False,
 ) -> Iterator[tuple[Outcome, bool]]:
-    """Yield the outcome of every job and whether it was kept from before; new ones are kept as they come."""
+    """Yield the outcome of every job and whether it was already stored; new outcomes are stored as they arrive.
+
+    No further job is started once ``should_stop`` returns true.
+    """
     missing = []
     for job in jobs:
-        if (kept := store.find(job.key)) is not None:
-            yield msgspec.structs.replace(kept, variant=job.variant.name), True
+        if (stored := store.find(job.key)) is not None:
+            yield msgspec.structs.replace(stored, variant=job.variant.name), True
         else:
             missing.append(job)
-    for outcome in in_parallel(missing, workers, stopped):
-        store.put(outcome, experiment)
+    for outcome in play_in_parallel(missing, workers, should_stop):
+        store.save(outcome, experiment)
         yield outcome, False
 
 
-def rows_of(outcomes: Iterable[Outcome], variants: list[str], figure: Callable[[Outcome], float]) -> list[Row]:
-    """Compare every variant with the first, on each scenario and on all; seeds that one of them lacks are left out."""
-    table: dict[str, dict[str, dict[int, Outcome]]] = {}
-    for each in outcomes:
-        table.setdefault(each.title, {}).setdefault(each.variant, {})[each.seed] = each
+def compare_variants(
+    outcomes: Iterable[Outcome], variants: list[str], figure: Callable[[Outcome], float]
+) -> list[ComparisonRow]:
+    """Compare every variant with the first, on each scenario and on all together.
+
+    Seeds for which one of the two has no run, or a run with an error, are left out.
+    """
+    by_title: dict[str, dict[str, dict[int, Outcome]]] = {}  # then by variant and by seed
+    for outcome in outcomes:
+        by_title.setdefault(outcome.title, {}).setdefault(outcome.variant, {})[outcome.seed] = outcome
     rows = []
     for second in variants[1:]:
         pairs: list[tuple[Outcome, Outcome]] = []
-        for title, by_variant in table.items():
-            mine = _pairs(by_variant, variants[0], second)
-            pairs += mine
-            if mine:
-                rows.append(_row(title, variants[0], second, mine, figure))
-        if len(table) > 1 and pairs:
+        for title, by_variant in by_title.items():
+            scenario_pairs = _pairs(by_variant, variants[0], second)
+            pairs += scenario_pairs
+            if scenario_pairs:
+                rows.append(_row(title, variants[0], second, scenario_pairs, figure))
+        if len(by_title) > 1 and pairs:
             rows.append(_row("all", variants[0], second, pairs, figure))
     return rows
 
@@ -111,7 +130,7 @@
 
 def _row(
     title: str, first: str, second: str, pairs: list[tuple[Outcome, Outcome]], figure: Callable[[Outcome], float]
-) -> Row:
+) -> ComparisonRow:
     verdict = compare([figure(a) for a, _ in pairs], [figure(b) for _, b in pairs])
     broken = (sum(bool(a.violations) for a, _ in pairs), sum(bool(b.violations) for _, b in pairs))
-    return Row(title, first, second, verdict, broken)
+    return ComparisonRow(title, first, second, verdict, broken)
--- a/scaledeal/lab/hunt/case.py
+++ b/scaledeal/lab/hunt/case.py
@@ -11,7 +11,7 @@
 from scaledeal.lab.hosts.module import Factory
 from scaledeal.lab.hosts.relay.host import quiet
 from scaledeal.lab.kernel import RunawayError
-from scaledeal.lab.runs.play import HostName, hosted
+from scaledeal.lab.runs.play import HostName, start_host
 from scaledeal.lab.scenario.types import Scenario
 from scaledeal.lab.truth import BrokenRuleError, Violation
 from scaledeal.lab.world.fleet import Fleet
@@ -60,7 +60,7 @@
     fleet = Fleet(case.day, case.seed, True, case.shuffle)
     try:
         with quiet():
-            hosted(fleet, case.host, factory).run()
+            start_host(fleet, case.host, factory).run()
     except BrokenRuleError as broken:
         return broken.violation, 0.0
     except RunawayError as runaway:
--- a/scaledeal/lab/hunt/party.py
+++ b/scaledeal/lab/hunt/party.py
@@ -13,7 +13,7 @@
 from scaledeal.lab.hunt.draw import around, drawn
 from scaledeal.lab.hunt.shrink import shrink
 from scaledeal.lab.kernel import Streams
-from scaledeal.lab.runs.play import HostName, module_from
+from scaledeal.lab.runs.play import HostName, load_balancer
 from scaledeal.lab.scenario.types import Scenario
 from scaledeal.policy import Balancer
 
@@ -24,7 +24,7 @@
 
 def factory_of(source: str) -> Factory:
     """Return what makes balancers of a source; of today's where there is none."""
-    return module_from(source) if source else Balancer
+    return load_balancer(source) if source else Balancer
 
 
 def case_of(seed: int, number: int, host: HostName, near: Scenario | None = None) -> Case:
--- a/scaledeal/lab/runs/__init__.py
+++ b/scaledeal/lab/runs/__init__.py
@@ -1,6 +1,7 @@
-"""One run: a scenario, a seed, a host and a decision module, played to its end, and what came of it.
+"""Runs: a scenario, a seed, a host and a decision module are played to the end and give one outcome.
 
-``play`` runs it here, ``worker`` in a process of its own, ``store`` keeps results. It may import the hosts.
+``play`` plays a run in this process, ``worker`` in a separate one, and ``store`` keeps outcomes. This package may
+import the hosts.
 """
 
 from scaledeal.lab.runs.play import Job, Outcome, Variant, play
--- a/scaledeal/lab/runs/play.py
+++ b/scaledeal/lab/runs/play.py
@@ -1,4 +1,4 @@
-"""Plays one run and tells what came of it, as one object that can be stored and compared."""
+"""Plays one run and returns its outcome as an object that can be stored and compared."""
 
 from __future__ import annotations
 
@@ -24,64 +24,74 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """What is compared: a decision module by its source, or today's, and settings laid over a scenario."""
+    """A variant to compare: a decision module, given by its source or installed, and settings laid over a scenario."""
 
     name: str = "now"
-    source: str = ""  # of a decision module; empty: the one that is installed
+    source: str = ""  # of a decision module; empty for the installed one
     settings: str = ""  # HCL, laid over the scenario
 
     def factory(self) -> Factory:
-        """Return what makes its balancers; raise ValueError where the source is none."""
-        return module_from(self.source) if self.source else Balancer
+        """Return the factory of the variant's balancers; raise ValueError if its source cannot be loaded."""
+        return load_balancer(self.source) if self.source else Balancer
 
     @property
     def digest(self) -> str:
-        """Return what tells it from others."""
+        """Return a digest of the source and the settings."""
         return blake2b(f"{self.source}\x00{self.settings}".encode(), digest_size=8).hexdigest()
 
 
 class Job(msgspec.Struct, frozen=True):
-    """A run that is to be played."""
+    """A run to be played."""
 
-    scenario: str  # its text
+    scenario: str  # its HCL text
     seed: int
     host: HostName = "module"
     variant: Variant = Variant()
-    shuffle: bool = False  # draw the order of what falls on one instant
-    stop: bool = True  # at the first broken rule
+    shuffle: bool = False  # draw the order of events that fall on the same instant
+    stop_at_violation: bool = msgspec.field(default=True, name="stop")
 
     @property
     def key(self) -> str:
-        """Return what names this run and no other: the same key gives the same result."""
-        told = "\x00".join(
-            (self.scenario, str(self.seed), self.host, self.variant.digest, str(self.shuffle), str(self.stop))
+        """Return a digest of everything that determines the run: runs with the same key have the same result."""
+        parts = "\x00".join(
+            (
+                self.scenario,
+                str(self.seed),
+                self.host,
+                self.variant.digest,
+                str(self.shuffle),
+                str(self.stop_at_violation),
+            )
         )
-        return blake2b(told.encode(), digest_size=12).hexdigest()
+        return blake2b(parts.encode(), digest_size=12).hexdigest()
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What came of a run."""
+    """The outcome of a run."""
 
     key: str
     title: str
     seed: int
     host: str
     variant: str
-    figures: dict[str, Any]  # of the service
+    figures: dict[str, Any]  # figures of the service
     series: dict[str, list[float]]
     violations: tuple[str, ...]
-    error: str = ""  # why it could not be played to its end
+    error: str = ""  # why the run could not be played to its end; empty if it was
     events: int = 0
-    seconds: float = 0.0  # that it took here
+    seconds: float = 0.0  # duration of the run on this machine
 
     @property
     def score(self) -> float:
-        """Return its figure: 0 where a rule was broken or it did not end."""
+        """Return the figure ``G``, or 0 if a rule was broken or the run did not end."""
         return 0.0 if self.violations or self.error else float(self.figures.get("G", 0.0))
 
 
-def module_from(source: str) -> Factory:
-    """Return the ``Balancer`` of a decision module's source; raise ValueError where there is none."""
+def load_balancer(source: str) -> Factory:
+    """Load a decision module from its source and return its ``Balancer``.
+
+    Raise ValueError if the source cannot be executed or defines no ``Balancer``.
+    """
     name = "scaledeal_variant_" + blake2b(source.encode(), digest_size=6).hexdigest()
     if name not in sys.modules:
         module = types.ModuleType(name)
@@ -90,41 +100,45 @@
             exec(compile(source, name, "exec"), module.__dict__)
         except Exception as error:
             del sys.modules[name]
-            raise ValueError(f"the module's source can't be taken: {type(error).__name__}: {error}") from None
-    found = getattr(sys.modules[name], "Balancer", None)
-    if found is None:
-        raise ValueError("the module's source holds no Balancer")
-    return found  # type: ignore[no-any-return]
+            raise ValueError(f"the module's source cannot be loaded: {type(error).__name__}: {error}") from None
+    balancer = getattr(sys.modules[name], "Balancer", None)
+    if balancer is None:
+        raise ValueError("the module's source defines no Balancer")
+    return balancer  # type: ignore[no-any-return]
 
 
-def scenario_of(job: Job) -> Scenario:
-    """Return a job's scenario with its variant's settings; raise FileError where they don't go together."""
+def load_scenario(job: Job) -> Scenario:
+    """Return a job's scenario with its variant's settings laid over it; raise FileError if they do not fit."""
     return load_text(job.scenario, job.variant.settings)
 
 
-def hosted(fleet: Fleet, host: HostName, factory: Factory) -> ModuleHost | RelayHost:
-    """Return a host with its relays started."""
+def start_host(fleet: Fleet, host: HostName, factory: Factory) -> ModuleHost | RelayHost:
+    """Start the relays of a fleet on a host and return the host."""
     return ModuleHost(fleet, factory) if host == "module" else RelayHost(fleet, factory)
 
 
 def play(job: Job, watch: Callable[[Fleet], None] = lambda fleet: None) -> Outcome:
-    """Play a run to its end, or to its first broken rule; raise FileError or ValueError where there is none to play."""
-    day, factory = scenario_of(job), job.variant.factory()
-    began = time.monotonic()
-    fleet = Fleet(day, job.seed, job.stop, job.shuffle)
+    """Play a run to its end, or to its first broken rule if the job says so.
+
+    ``watch`` is called with the fleet before the run starts. Raise FileError if the scenario is bad, and ValueError if
+    the variant's source cannot be loaded.
+    """
+    scenario, factory = load_scenario(job), job.variant.factory()
+    started_at = time.monotonic()
+    fleet = Fleet(scenario, job.seed, job.stop_at_violation, job.shuffle)
     error = ""
     try:
         with quiet():
-            host = hosted(fleet, job.host, factory)
+            host = start_host(fleet, job.host, factory)
             watch(fleet)
             host.run()
     except BrokenRuleError:
-        pass  # the witness has it
+        pass  # the fleet's checker has recorded it
     except RunawayError as runaway:
         error = str(runaway)
     return Outcome(
         job.key,
-        day.title,
+        scenario.title,
         job.seed,
         job.host,
         job.variant.name,
@@ -133,5 +147,5 @@
         tuple(map(str, fleet.checker.violations)),
         error,
         fleet.kernel.executed,
-        round(time.monotonic() - began, 2),
+        round(time.monotonic() - started_at, 2),
     )
--- a/scaledeal/lab/runs/store.py
+++ b/scaledeal/lab/runs/store.py
@@ -1,8 +1,9 @@
-"""Keeps results where later runs find them: one SQLite file, written as each run ends.
+"""Keeps the outcomes of runs in one SQLite file, which is written as each run ends.
 
-A run is named by what it is made of, so one that is there already is not played again, and a sweep that was stopped
-goes on from where it was. SQLite is Python's own, survives kill -9 in its write-ahead log and lets several sweeps
-write; DuckDB was weighed: a column store pays past some millions of rows, and allows one writing process only.
+The key of a run is a digest of its inputs, so a run that is already stored is not played again, and a sweep that was
+stopped continues with the missing runs. SQLite is part of Python's standard library, its write-ahead log survives
+kill -9, and several sweeps may write at once. DuckDB, the alternative, is a column store that pays off only beyond some
+millions of rows, and allows only one writing process.
 """
 
 from __future__ import annotations
@@ -26,27 +27,28 @@
 
 
 class StoreError(Exception):
-    """A file that can't serve as a store; the text says why."""
+    """The file cannot be used as a store; the message gives the reason."""
 
 
 class Store:
-    """The results of all runs."""
+    """The stored outcomes of runs."""
 
     def __init__(self, path: Path) -> None:
+        """Open or create the file; raise StoreError if it cannot be used."""
         try:
-            self.base = sqlite3.connect(path, timeout=30.0, isolation_level=None)
-            self.base.execute("pragma journal_mode = wal")
-            self.base.execute(_TABLE)
+            self.connection = sqlite3.connect(path, timeout=30.0, isolation_level=None)
+            self.connection.execute("pragma journal_mode = wal")
+            self.connection.execute(_TABLE)
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from None
 
     def close(self) -> None:
         """Close the file."""
-        self.base.close()
+        self.connection.close()
 
-    def put(self, outcome: Outcome, experiment: str) -> None:
-        """Keep one outcome; one that could not be played is played anew by the next sweep."""
-        self.base.execute(
+    def save(self, outcome: Outcome, experiment: str) -> None:
+        """Store one outcome under its key; one with an error is played again by the next sweep."""
+        self.connection.execute(
             "insert or replace into runs values (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
                 outcome.key,
@@ -64,27 +66,29 @@
         )
 
     def find(self, key: str) -> Outcome | None:
-        """Return a run that was played to its end."""
-        row = self.base.execute("select outcome from runs where key = ? and error = ''", (key,)).fetchone()
+        """Return the outcome of a run that was played to its end, or None."""
+        row = self.connection.execute("select outcome from runs where key = ? and error = ''", (key,)).fetchone()
         return msgspec.json.decode(row[0], type=Outcome) if row else None
 
-    def listed(self, experiment: str = "") -> Iterator[dict[str, Any]]:
-        """Yield what is kept, the latest last, without the outcomes themselves."""
-        where, values = (" where experiment = ?", (experiment,)) if experiment else ("", ())
-        for row in self.base.execute(f"select {', '.join(COLUMNS)} from runs{where} order by at, key", values):
+    def list_runs(self, experiment: str = "") -> Iterator[dict[str, Any]]:
+        """Yield the columns of the stored runs except the encoded outcomes, the latest run last."""
+        condition, values = (" where experiment = ?", (experiment,)) if experiment else ("", ())
+        for row in self.connection.execute(
+            f"select {', '.join(COLUMNS)} from runs{condition} order by at, key", values
+        ):
             yield dict(zip(COLUMNS, row, strict=True))
 
-    def whole(self, start: str) -> Outcome | None:
-        """Return the run whose key begins so; None where there is none, or more than one."""
-        rows = self.base.execute(
-            "select outcome from runs where substr(key, 1, ?) = ? limit 2", (len(start), start)
+    def find_by_prefix(self, prefix: str) -> Outcome | None:
+        """Return the run whose key starts with ``prefix``; None if there is none or more than one."""
+        rows = self.connection.execute(
+            "select outcome from runs where substr(key, 1, ?) = ? limit 2", (len(prefix), prefix)
         ).fetchall()
-        return msgspec.json.decode(rows[0][0], type=Outcome) if len(rows) == 1 and start else None
+        return msgspec.json.decode(rows[0][0], type=Outcome) if len(rows) == 1 and prefix else None
 
-    def export(self, to: TextIO, experiment: str = "") -> int:
-        """Write what is kept as CSV; return how many rows."""
-        writer = csv.DictWriter(to, COLUMNS)
+    def export(self, file: TextIO, experiment: str = "") -> int:
+        """Write the stored runs as CSV; return the number of rows."""
+        writer = csv.DictWriter(file, COLUMNS)
         writer.writeheader()
-        rows = list(self.listed(experiment))
+        rows = list(self.list_runs(experiment))
         writer.writerows(rows)
         return len(rows)
--- a/scaledeal/lab/runs/worker.py
+++ b/scaledeal/lab/runs/worker.py
@@ -1,6 +1,6 @@
-"""Plays one job in a process of its own: the job as JSON on standard input, its outcome as JSON on standard output.
+"""Plays one job in a separate process: it reads the job as JSON from standard input and writes the outcome as JSON.
 
-A worker that dies takes its own run along and no other; whoever started it hears of that by its exit code.
+A worker that dies loses only its own run; the process that started it detects that by the exit code.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 import msgspec
 
 from scaledeal.hcl import FileError
-from scaledeal.lab.runs.play import Job, Outcome, play, scenario_of
+from scaledeal.lab.runs.play import Job, Outcome, load_scenario, play
 
-CALL = [sys.executable, "-m", "scaledeal.lab.runs.worker"]
+WORKER_COMMAND = [sys.executable, "-m", "scaledeal.lab.runs.worker"]
 
 
-class Work(msgspec.Struct, eq=False):
-    """A job that is being played."""
+class RunningJob(msgspec.Struct, eq=False):
+    """A job that is being played by a worker."""
 
     job: Job
     process: subprocess.Popen[bytes]
-    began: float
+    started_at: float  # monotonic seconds
 
 
 def main() -> int:
-    """Play the job that standard input holds."""
+    """Play the job from standard input; return the exit code, 2 if the job cannot be played."""
     job = msgspec.json.decode(sys.stdin.buffer.read(), type=Job)
     try:
         outcome = play(job)
@@ -38,57 +38,62 @@
     return 0
 
 
-def failed(job: Job, why: str) -> Outcome:
+def failed_outcome(job: Job, reason: str) -> Outcome:
     """Return the outcome of a run that could not be played."""
-    return Outcome(job.key, scenario_of(job).title, job.seed, job.host, job.variant.name, {}, {}, (), why)
+    return Outcome(job.key, load_scenario(job).title, job.seed, job.host, job.variant.name, {}, {}, (), reason)
 
 
-def in_parallel(
-    jobs: Iterable[Job], workers: int, stopped: Callable[[], bool] = lambda: False, patience: float = 3600.0
+def play_in_parallel(
+    jobs: Iterable[Job], workers: int, should_stop: Callable[[], bool] = lambda: False, timeout_s: float = 3600.0
 ) -> Iterator[Outcome]:
-    """Yield outcomes as they come, from so many workers at once; no new one is started once it is to stop."""
-    waiting, running = list(jobs)[::-1], list[Work]()
+    """Yield outcomes as they arrive from up to ``workers`` concurrent workers.
+
+    No further job is started once ``should_stop`` returns true. A worker that runs longer than ``timeout_s`` is killed.
+    """
+    waiting, running = list(jobs)[::-1], list[RunningJob]()
     try:
         while waiting or running:
-            while waiting and len(running) < workers and not stopped():
-                running.append(_begin(waiting.pop()))
-            if stopped():
+            while waiting and len(running) < workers and not should_stop():
+                running.append(_start_worker(waiting.pop()))
+            if should_stop():
                 waiting.clear()
-            for work in [each for each in running if each.process.poll() is not None]:
-                running.remove(work)
-                yield _outcome(work)
-            for work in [each for each in running if time.monotonic() - each.began > patience]:
-                work.process.kill()  # its own child, and no other
+            for running_job in [candidate for candidate in running if candidate.process.poll() is not None]:
+                running.remove(running_job)
+                yield _read_outcome(running_job)
+            for running_job in [
+                candidate for candidate in running if time.monotonic() - candidate.started_at > timeout_s
+            ]:
+                running_job.process.kill()  # always a child of this process
             time.sleep(0.02)
     finally:
-        for work in running:
-            work.process.kill()
-            work.process.wait()
+        for running_job in running:
+            running_job.process.kill()
+            running_job.process.wait()
 
 
-def _begin(job: Job) -> Work:
-    process = subprocess.Popen(CALL, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
+def _start_worker(job: Job) -> RunningJob:
+    process = subprocess.Popen(WORKER_COMMAND, stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE)
     assert process.stdin is not None
     try:
         process.stdin.write(msgspec.json.encode(job))
         process.stdin.close()
     except BrokenPipeError:
-        pass  # its exit code tells
-    return Work(job, process, time.monotonic())
+        pass  # the worker has died; its exit code is read later
+    return RunningJob(job, process, time.monotonic())
 
 
-def _outcome(work: Work) -> Outcome:
-    assert work.process.stdout is not None and work.process.stderr is not None
-    told, said = work.process.stdout.read(), work.process.stderr.read().decode("utf-8", "replace")
-    work.process.stdout.close()
-    work.process.stderr.close()
-    if work.process.returncode == 0:
+def _read_outcome(running_job: RunningJob) -> Outcome:
+    assert running_job.process.stdout is not None and running_job.process.stderr is not None
+    output, errors = running_job.process.stdout.read(), running_job.process.stderr.read().decode("utf-8", "replace")
+    running_job.process.stdout.close()
+    running_job.process.stderr.close()
+    if running_job.process.returncode == 0:
         try:
-            return msgspec.json.decode(told, type=Outcome)
+            return msgspec.json.decode(output, type=Outcome)
         except msgspec.MsgspecError as error:
-            return failed(work.job, f"worker's answer not understood: {error}")
-    last = said.strip().splitlines()[-1:] or ["without a word"]
-    return failed(work.job, f"worker ended with {work.process.returncode}: {last[0]}")
+            return failed_outcome(running_job.job, f"worker's answer cannot be decoded: {error}")
+    last_line = errors.strip().splitlines()[-1:] or ["no error output"]
+    return failed_outcome(running_job.job, f"worker exited with code {running_job.process.returncode}: {last_line[0]}")
 
 
 if __name__ == "__main__":
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -16,7 +16,7 @@
 from scaledeal.lab.hosts.relay import peers
 from scaledeal.lab.hosts.relay.host import RelayHost, quiet
 from scaledeal.lab.runs import Job, Variant, play
-from scaledeal.lab.runs.play import module_from
+from scaledeal.lab.runs.play import load_balancer
 from scaledeal.lab.scenario import bundled_scenarios, load
 from scaledeal.lab.scenario.reading import load_text
 from scaledeal.lab.scenario.types import Scenario
@@ -44,7 +44,7 @@
     violation = None
     try:
         with quiet():
-            HOSTS[host](fleet, module_from(source) if source else Balancer).run()
+            HOSTS[host](fleet, load_balancer(source) if source else Balancer).run()
     except BrokenRuleError as error:
         violation = error.violation
     result = fleet.service.result()
@@ -276,7 +276,7 @@
 
 def test_a_relay_crash_is_reported_and_the_run_continues():
     fleet = Fleet(day(), 1, stop=False)
-    ModuleHost(fleet, module_from(lab_broken.RAISES)).run()
+    ModuleHost(fleet, load_balancer(lab_broken.RAISES)).run()
     assert {violation.rule for violation in fleet.checker.violations} == {"crash"}
     assert fleet.kernel.now >= fleet.day.seconds
 
