--- a/scaledeal/hcl/__init__.py
+++ b/scaledeal/hcl/__init__.py
@@ -1,22 +1,31 @@
-"""Files in HCL: their blocks read into msgspec types, and all that is wrong with them told at once.
+"""Reading of HCL files: decode blocks into msgspec types and report all faults of a file together.
 
-The operators' file and the laboratory's scenarios are read by it. It may import msgspec and the grammar's library, and
-knows no kind of file itself.
+The operators' file and the laboratory's scenarios are read with this package. It may import only msgspec and the HCL
+grammar's library, and contains nothing specific to one kind of file.
 """
 
-from scaledeal.hcl.reading import Breach, Fault, FileError, Rule, UnreadError, read_as, read_file, told
-from scaledeal.hcl.values import Duration, Span, Times
+from scaledeal.hcl.reading import (
+    Fault,
+    FileError,
+    Rule,
+    RuleViolation,
+    UnreadableValueError,
+    check_rules,
+    read_as,
+    read_file,
+)
+from scaledeal.hcl.values import Duration, DurationRange, NumberRange
 
 __all__ = [
-    "Breach",
     "Duration",
+    "DurationRange",
     "Fault",
     "FileError",
+    "NumberRange",
     "Rule",
-    "Span",
-    "Times",
-    "UnreadError",
+    "RuleViolation",
+    "UnreadableValueError",
+    "check_rules",
     "read_as",
     "read_file",
-    "told",
 ]
--- a/scaledeal/hcl/reading.py
+++ b/scaledeal/hcl/reading.py
@@ -1,7 +1,8 @@
-"""Reads HCL into types, and tells everything that is wrong at once, each with its place and reason.
+"""Decode HCL into msgspec types and report all faults together, each with its place and reason.
 
-The grammar is python-hcl2's; its tree, unlike its dictionaries, knows the line of each value. What breaks a rule is
-told together with what is no value at all: rules look at whatever could be read, see ``told``.
+The parser is python-hcl2; its syntax tree, unlike its dictionaries, holds the line of each value. Rule violations are
+reported together with invalid values, because rules are checked against the values that could be read; see
+``check_rules``.
 """
 
 from __future__ import annotations
@@ -17,41 +18,41 @@
 from lark import Token, Tree
 from lark.exceptions import LarkError
 
-LONGEST = 1 << 20  # bytes; a longer file is no such file
+MAX_FILE_SIZE_BYTES = 1 << 20  # a longer file is refused unread: it can't be a settings file
 
-Kind = TypeVar("Kind", bound=msgspec.Struct)
-Breach = tuple[str, str]  # the place and the reason
-Rule = Callable[[Any], Iterable[Breach]]  # looks at what was read, and tells what it breaks
+StructT = TypeVar("StructT", bound=msgspec.Struct)
+RuleViolation = tuple[str, str]  # the place and the reason
+Rule = Callable[[Any], Iterable[RuleViolation]]  # takes a decoded block and yields its violations
 
 
-class UnreadError(Exception):
-    """A rule needs a value that could not be read: that was told, and the rule has nothing to say."""
+class UnreadableValueError(Exception):
+    """Raised by access to a value that could not be read; its fault is already reported, so the rule is skipped."""
 
 
-class Partial:
-    """What could be read of a block in which something is wrong."""
+class PartialBlock:
+    """The values that could be read of a block with faults; access to any other raises UnreadableValueError."""
 
     def __init__(self, values: dict[str, Any]) -> None:
         self.__dict__.update(values)
 
     def __getattr__(self, name: str) -> Any:
-        raise UnreadError(name)
+        raise UnreadableValueError(name)
 
 
 class Fault(msgspec.Struct, frozen=True, order=True):
-    """One thing wrong with the file; ``line`` counts from 1, 0 where the fault is of the whole file."""
+    """One fault of a file; ``line`` counts from 1 and is 0 for a fault of the whole file."""
 
     line: int
     place: str
     reason: str
 
     def __str__(self) -> str:
-        where = f"line {self.line}: " if self.line else ""
-        return f"{where}{self.place}: {self.reason}" if self.place else f"{where}{self.reason}"
+        prefix = f"line {self.line}: " if self.line else ""
+        return f"{prefix}{self.place}: {self.reason}" if self.place else f"{prefix}{self.reason}"
 
 
 class FileError(Exception):
-    """A file that can't be obeyed; ``faults`` holds everything that is wrong with it."""
+    """An invalid file; ``faults`` holds all of its faults, sorted by line."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = sorted(faults)
@@ -59,7 +60,7 @@
 
 
 class Block(msgspec.Struct):
-    """One block of the file: its label, its values and the blocks inside, each with its line."""
+    """One block of a file: its label, its values and its inner blocks, each with its line."""
 
     line: int
     label: str = ""
@@ -68,98 +69,101 @@
 
 
 def read_file(path: Path) -> str:
-    """Return the text of a file; raise FileError where there is none to be had."""
+    """Return the text of a file; raise FileError if it can't be read, is not UTF-8 or is too long."""
     try:
-        if path.stat().st_size > LONGEST:
-            raise FileError([Fault(0, str(path), f"longer than {LONGEST} bytes")])
+        if path.stat().st_size > MAX_FILE_SIZE_BYTES:
+            raise FileError([Fault(0, str(path), f"longer than {MAX_FILE_SIZE_BYTES} bytes")])
         return path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise FileError([Fault(0, str(path), getattr(error, "strerror", None) or str(error))]) from None
 
 
-def read_as(text: str, kind: type[Kind], rules: Iterable[Rule], under: Iterable[str] = ()) -> Kind:
-    """Read a text as one kind of file and hold it against rules; raise FileError with all that is wrong.
+def read_as(text: str, kind: type[StructT], rules: Iterable[Rule], base_texts: Iterable[str] = ()) -> StructT:
+    """Decode a text as one kind of file and check it against rules; raise FileError with all its faults.
 
-    ``under`` holds the texts of files that this one builds on, the lowest first: its values take the place of theirs,
-    block by block and label by label; what stands only in one of them is taken from there.
+    ``base_texts`` holds the texts of the files that this one extends, the lowest first. A value of this file overrides
+    the value of the same block and label in a base; a value that only a base has is inherited from it.
     """
     reader = _Reader()
-    root = reader.tree(text)
-    for lower in reversed(list(under)):
-        below = _Reader().tree(lower)
-        root = _laid_over(root, below) if root is not None and below is not None else root
-    taken = reader.struct(root, kind, "") if root is not None else None
-    if taken is not None:
-        spoken = {fault.place for fault in reader.faults}
+    root = reader.parse(text)
+    for base_text in reversed(list(base_texts)):
+        base = _Reader().parse(base_text)
+        root = _merge_block(root, base) if root is not None and base is not None else root
+    decoded = reader.struct(root, kind, "") if root is not None else None
+    if decoded is not None:
+        reported = {fault.place for fault in reader.faults}
         reader.faults += [
-            Fault(reader.line_of(place), place, reason) for place, reason in told(rules, taken) if place not in spoken
+            Fault(reader.line_of(place), place, reason)
+            for place, reason in check_rules(rules, decoded)
+            if place not in reported
         ]
-    if reader.faults or not isinstance(taken, kind):
+    if reader.faults or not isinstance(decoded, kind):
         raise FileError(reader.faults)
-    return taken
+    return decoded
 
 
-def told(rules: Iterable[Rule], found: Any) -> Iterator[Breach]:
-    """Yield what the rules break, as far as they find what they need."""
+def check_rules(rules: Iterable[Rule], decoded: Any) -> Iterator[RuleViolation]:
+    """Yield the violations of rules; a rule that needs a value that could not be read ends there."""
     for rule in rules:
         try:
-            yield from rule(found)
-        except UnreadError:
+            yield from rule(decoded)
+        except UnreadableValueError:
             continue
 
 
-def _laid_over(over: Block, under: Block) -> Block:
-    """Return one block with another's values where it has none; lines are told of the upper one alone."""
-    values = {name: (0, value) for name, (_, value) in under.values.items()} | over.values
+def _merge_block(upper: Block, lower: Block) -> Block:
+    """Return the upper block with the lower one's values where it has none; inherited values get line 0."""
+    values = {name: (0, value) for name, (_, value) in lower.values.items()} | upper.values
     blocks = {
-        name: [_laid_over(Block(0, each.label, {}, {}), each) for each in many] for name, many in under.blocks.items()
+        name: [_merge_block(Block(0, block.label, {}, {}), block) for block in same_name]
+        for name, same_name in lower.blocks.items()
     }
-    for name, many in over.blocks.items():
-        blocks[name] = _together(many, blocks.get(name, []))
-    return Block(over.line, over.label, values, blocks)
-
-
-def _together(over: list[Block], under: list[Block]) -> list[Block]:
-    """Return blocks of one name, each upper one in the place of the first lower one of its label that is left."""
-    found, left = list(under), list(range(len(under)))
-    for upper in over:
-        place = next((at for at in left if found[at].label == upper.label), None)
-        if place is None:
-            found.append(upper)
+    for name, same_name in upper.blocks.items():
+        blocks[name] = _merge_block_lists(same_name, blocks.get(name, []))
+    return Block(upper.line, upper.label, values, blocks)
+
+
+def _merge_block_lists(upper_blocks: list[Block], lower_blocks: list[Block]) -> list[Block]:
+    """Merge blocks of one name, each upper one with the first unmatched lower one of its label; append the rest."""
+    merged, unmatched = list(lower_blocks), list(range(len(lower_blocks)))
+    for upper in upper_blocks:
+        index = next((candidate for candidate in unmatched if merged[candidate].label == upper.label), None)
+        if index is None:
+            merged.append(upper)
         else:
-            left.remove(place)
-            found[place] = _laid_over(upper, found[place])
-    return found
+            unmatched.remove(index)
+            merged[index] = _merge_block(upper, merged[index])
+    return merged
 
 
-class _Unread(msgspec.Struct):
-    """Stands for a value that is none."""
+class _InvalidValue(msgspec.Struct):
+    """Placeholder for a value that could not be parsed."""
 
     reason: str
 
 
 class _Reader:
-    """Collects faults instead of stopping at the first."""
+    """Parses and decodes a file; collects faults instead of stopping at the first."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
         self.lines: dict[str, int] = {}
 
     def line_of(self, place: str) -> int:
-        """Return the line of a place, or of the block that it would stand in."""
+        """Return the line of a place or, if it has none, of the nearest enclosing block."""
         while place and place not in self.lines:
             place = place.rpartition(".")[0]
         return self.lines.get(place, 0)
 
-    # From text to blocks
+    # Parsing: from text to blocks
 
-    def tree(self, text: str) -> Block | None:
-        """Parse the text."""
+    def parse(self, text: str) -> Block | None:
+        """Return the root block of a text, or None with a fault if it is not HCL."""
         try:
             parsed = hcl2.parses_to_tree(text if text.endswith("\n") else text + "\n")
         except (LarkError, ValueError, RecursionError) as error:
             line = getattr(error, "line", 0)
-            self.faults.append(Fault(max(0, line), "", "no HCL: " + str(error).split("\n")[0]))
+            self.faults.append(Fault(max(0, line), "", "not valid HCL: " + str(error).split("\n")[0]))
             return None
         return self._body(parsed.children[0], Block(1, values={}, blocks={}))
 
@@ -176,106 +180,108 @@
 
     def _attribute(self, node: Tree[Any], name: str, into: Block) -> None:
         if name in into.values:
-            into.values[name] = (node.meta.line, _Unread("stated twice"))
+            into.values[name] = (node.meta.line, _InvalidValue("set twice"))
             return
         try:
             into.values[name] = (node.meta.line, _value(node.children[-1]))
         except ValueError as error:
-            into.values[name] = (node.meta.line, _Unread(str(error)))
+            into.values[name] = (node.meta.line, _InvalidValue(str(error)))
 
     def _block(self, node: Tree[Any], name: str, into: Block) -> None:
-        labels = [_text(each) for each in node.children if isinstance(each, Tree) and each.data == "string"]
+        labels = [_text(child) for child in node.children if isinstance(child, Tree) and child.data == "string"]
         inner = Block(node.meta.line, " ".join(labels), {}, {})
-        for each in node.children:
-            if isinstance(each, Tree) and each.data == "body":
-                self._body(each, inner)
+        for child in node.children:
+            if isinstance(child, Tree) and child.data == "body":
+                self._body(child, inner)
         into.blocks.setdefault(name, []).append(inner)
 
-    # From blocks to types
+    # Decoding: from blocks to types
 
-    def struct(self, block: Block, kind: type[msgspec.Struct], place: str) -> msgspec.Struct | Partial:
-        """Decode one block; where anything in it is wrong, return what is right."""
-        before = len(self.faults)
+    def struct(self, block: Block, kind: type[msgspec.Struct], place: str) -> msgspec.Struct | PartialBlock:
+        """Decode one block; if it has faults, report them and return its valid values as a PartialBlock."""
+        faults_before = len(self.faults)
         self.lines[place] = block.line
         fields = {field.encode_name: field for field in msgspec.structs.fields(kind)}
         hints = typing.get_type_hints(kind, include_extras=True)
         known = [name for name in fields if name != "name"]
         for name, line in self._names(block):
             if name not in known:
-                self._fault(line, place, name, f"not known here; known are {', '.join(known)}")
-        taken: dict[str, Any] = {"name": block.label} if "name" in fields else {}
+                self._fault(line, place, name, f"unknown name; known names are {', '.join(known)}")
+        decoded: dict[str, Any] = {"name": block.label} if "name" in fields else {}
         for name in known:
             field = fields[name]
-            found = self._field(block, name, hints[field.name], place)
-            if found is not ...:
-                taken[field.name] = found
+            value = self._field(block, name, hints[field.name], place)
+            if value is not ...:
+                decoded[field.name] = value
             elif field.required and name not in block.values and name not in block.blocks:
                 self._fault(block.line, place, name, "is missing")
-        if len(self.faults) == before:
-            return kind(**taken)
-        spoilt = {name for name in known if name in block.values or name in block.blocks}
+        if len(self.faults) == faults_before:
+            return kind(**decoded)
+        invalid = {name for name in known if name in block.values or name in block.blocks}
         defaults = {
             field.name: field.default
             for name, field in fields.items()
-            if name not in spoilt and field.default is not msgspec.NODEFAULT
+            if name not in invalid and field.default is not msgspec.NODEFAULT
         }
-        return Partial(defaults | taken)
+        return PartialBlock(defaults | decoded)
 
     def _field(self, block: Block, name: str, hint: Any, place: str) -> Any:
-        """Return a field's value, or ``...`` where there is none or it is wrong."""
-        at = f"{place}.{name}".lstrip(".")
-        inner, many = _inner(hint)
+        """Return a field's value, or ``...`` if it is absent or invalid."""
+        field_place = f"{place}.{name}".lstrip(".")
+        inner, repeated = _struct_in(hint)
         if inner is None:
             if name in block.blocks:
-                self._fault(block.blocks[name][0].line, place, name, "is a value, not a block")
+                self._fault(block.blocks[name][0].line, place, name, "must be a value, not a block")
             elif name in block.values:
-                return self._convert(block.values[name], hint, at)
+                return self._convert(block.values[name], hint, field_place)
             return ...
         if name in block.values:
-            self._fault(block.values[name][0], place, name, "is a block, not a value")
+            self._fault(block.values[name][0], place, name, "must be a block, not a value")
             return ...
         blocks = block.blocks.get(name, [])
-        if many:
-            return tuple(self.struct(each, inner, f'{at}["{each.label}"]') for each in blocks) if blocks else ...
+        if repeated:
+            return (
+                tuple(self.struct(item, inner, f'{field_place}["{item.label}"]') for item in blocks) if blocks else ...
+            )
         for extra in blocks[1:]:
-            self._fault(extra.line, place, name, "stated twice")
-        return self.struct(blocks[0], inner, at) if blocks else ...
-
-    def _convert(self, found: tuple[int, Any], hint: Any, at: str) -> Any:
-        line, value = found
-        self.lines[at] = line
-        if isinstance(value, _Unread):
-            self.faults.append(Fault(line, at, value.reason))
+            self._fault(extra.line, place, name, "set twice")
+        return self.struct(blocks[0], inner, field_place) if blocks else ...
+
+    def _convert(self, line_and_value: tuple[int, Any], hint: Any, place: str) -> Any:
+        line, value = line_and_value
+        self.lines[place] = line
+        if isinstance(value, _InvalidValue):
+            self.faults.append(Fault(line, place, value.reason))
             return ...
         try:
-            return msgspec.convert(value, hint, strict=True, dec_hook=_own)
+            return msgspec.convert(value, hint, strict=True, dec_hook=_read_custom_type)
         except msgspec.ValidationError as error:
-            self.faults.append(Fault(line, at, str(error)))
+            self.faults.append(Fault(line, place, str(error)))
             return ...
 
     def _names(self, block: Block) -> list[tuple[str, int]]:
         return [(name, line) for name, (line, _) in block.values.items()] + [
-            (name, each.line) for name, many in block.blocks.items() for each in many
+            (name, inner.line) for name, same_name in block.blocks.items() for inner in same_name
         ]
 
     def _fault(self, line: int, place: str, name: str, reason: str) -> None:
         self.faults.append(Fault(line, f"{place}.{name}".lstrip("."), reason))
 
 
-def _own(kind: type, value: Any) -> Any:
-    """Have a type of values read what it is written as."""
-    if (reads := getattr(kind, "read", None)) is not None:
-        return reads(value)
+def _read_custom_type(kind: type, value: Any) -> Any:
+    """Decode a value with the ``read`` method of its type; used by msgspec for types that it does not know."""
+    if (read := getattr(kind, "read", None)) is not None:
+        return read(value)
     raise NotImplementedError(kind)
 
 
-def _inner(hint: Any) -> tuple[type[msgspec.Struct] | None, bool]:
-    """Return the struct that a hint holds, if any, and whether it holds several."""
+def _struct_in(hint: Any) -> tuple[type[msgspec.Struct] | None, bool]:
+    """Return the struct type in a type hint, if any, and whether the hint is a tuple of such structs."""
     arguments = typing.get_args(hint)
     if typing.get_origin(hint) is tuple and _is_struct(arguments[0]):
         return arguments[0], True
     if typing.get_origin(hint) in (Union, types.UnionType):
-        return next((each for each in arguments if _is_struct(each)), None), False
+        return next((argument for argument in arguments if _is_struct(argument)), None), False
     return (hint, False) if _is_struct(hint) else (None, False)
 
 
@@ -288,53 +294,54 @@
 
 
 def _text(node: Tree[Any]) -> str:
-    """Return a plain string's text; raise ValueError for one that has to be worked out."""
+    """Return the text of a plain string; raise ValueError for one with an interpolation."""
     parts: list[str] = []
-    for each in node.children:
-        if isinstance(each, Tree) and each.data == "string_part":
-            if any(isinstance(part, Tree) for part in each.children):
-                raise ValueError("only plain strings are taken, nothing that has to be worked out")
-            parts += [str(part) for part in each.children]
+    for child in node.children:
+        if isinstance(child, Tree) and child.data == "string_part":
+            if any(isinstance(part, Tree) for part in child.children):
+                raise ValueError("only plain strings are allowed, without interpolation")
+            parts += [str(part) for part in child.children]
     text = "".join(parts)
-    # Guards against a value that means something else than it shows: escapes are those of HCL, and no more.
+    # The parser leaves escapes in place, so without this a value would differ from the string that HCL defines.
+    # Only these escapes of HCL are replaced.
     for escape, plain in (('\\"', '"'), ("\\n", "\n"), ("\\t", "\t"), ("\\\\", "\\")):
         text = text.replace(escape, plain)
     return text
 
 
 def _value(node: Any) -> Any:
-    """Return what an expression says; only plain values are taken."""
+    """Return the value of an expression; raise ValueError for anything but a plain value."""
     if isinstance(node, Token):
         return _token(str(node))
-    inner = [each for each in node.children if not (isinstance(each, Tree) and each.data == "new_line_or_comment")]
+    inner = [child for child in node.children if not (isinstance(child, Tree) and child.data == "new_line_or_comment")]
     reader: Callable[[list[Any]], Any] | None = _READERS.get(str(node.data))
     if node.data == "string":
         return _text(node)
     if reader is None:
-        raise ValueError("only strings, numbers, true, false and lists of them are taken")
+        raise ValueError("only strings, numbers, true, false and lists of them are allowed")
     return reader(inner)
 
 
 def _single(inner: list[Any]) -> Any:
     if len(inner) != 1:
-        raise ValueError("only strings, numbers, true, false and lists of them are taken")
+        raise ValueError("only strings, numbers, true, false and lists of them are allowed")
     return _value(inner[0])
 
 
-def _listed(inner: list[Any]) -> list[Any]:
-    return [_value(each) for each in inner if isinstance(each, Tree)]
+def _list(inner: list[Any]) -> list[Any]:
+    return [_value(child) for child in inner if isinstance(child, Tree)]
 
 
 def _signed(inner: list[Any]) -> float | int:
-    """Read a number behind its sign; what else a sign stands before has to be worked out."""
+    """Return a negative number; raise ValueError for any other operator or operand, which is an expression."""
     value = _value(inner[-1])
     if str(inner[0]) != "-" or isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise ValueError("only strings, numbers, true, false and lists of them are taken")
+        raise ValueError("only strings, numbers, true, false and lists of them are allowed")
     return -value
 
 
 def _number(inner: list[Any]) -> float | int:
-    text = "".join(str(each) for each in inner)
+    text = "".join(str(child) for child in inner)
     try:
         return int(text)
     except ValueError:
@@ -342,16 +349,16 @@
 
 
 def _token(text: str) -> Any:
-    words = {"true": True, "false": False, "null": None}
-    if text in words:
-        return words[text]
+    literals = {"true": True, "false": False, "null": None}
+    if text in literals:
+        return literals[text]
     return _number([text])
 
 
 _READERS: dict[str, Callable[[list[Any]], Any]] = {
     "unary_op": _signed,
     "expr_term": _single,
-    "tuple": _listed,
+    "tuple": _list,
     "int_lit": _number,
     "float_lit": _number,
     "identifier": lambda inner: _token(str(inner[0])),
--- a/scaledeal/lab/hunt/case.py
+++ b/scaledeal/lab/hunt/case.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from scaledeal.hcl import Duration, Span, Times
+from scaledeal.hcl import Duration, DurationRange, NumberRange
 from scaledeal.lab.hosts.module import Factory
 from scaledeal.lab.hosts.relay.host import quiet
 from scaledeal.lab.kernel import RunawayError
@@ -50,7 +50,7 @@
     """Read what is kept as plain numbers: nanoseconds, and ends of ranges."""
     if kind is Duration:
         return Duration(value)
-    if kind in (Span, Times):
+    if kind in (NumberRange, DurationRange):
         return kind(tuple(value))
     raise NotImplementedError(kind)
 
--- a/scaledeal/lab/hunt/draw.py
+++ b/scaledeal/lab/hunt/draw.py
@@ -9,7 +9,7 @@
 import msgspec
 import numpy as np
 
-from scaledeal.hcl import Duration, Span, Times
+from scaledeal.hcl import Duration, DurationRange, NumberRange
 from scaledeal.lab.runs.play import HostName
 from scaledeal.lab.scenario.types import (
     Class,
@@ -100,7 +100,7 @@
         ),
         clients=Clients(
             load=load,
-            life=Times((SECOND, int(bounds.life * SECOND))),
+            life=DurationRange((SECOND, int(bounds.life * SECOND))),
             retries=int(draw.integers(0, 4)),
             impatient=float(draw.choice([0.0, 0.2])),
             bad=bad,
@@ -132,15 +132,15 @@
     model = Model(
         name="m",
         cores=2,
-        speed=Span((0.8, 1.6)),
+        speed=NumberRange((0.8, 1.6)),
         cap=int(draw.choice([0, 3, 50])),
-        cold_from=Span((0.3, 0.6)),
+        cold_from=NumberRange((0.3, 0.6)),
         cold=_times(draw, 1000, 6000),
     )
     return Servers(
         count=count,
         model=(model,),
-        per_core=Span((per_core, per_core)),
+        per_core=NumberRange((per_core, per_core)),
         goaway=bool(draw.random() < 0.7),
         group_cost=float(draw.choice([0.0, 3.0])),
         group_size=5.0,
@@ -169,15 +169,15 @@
     part = float(draw.uniform(0.1, 1.0))
     return Trouble(
         name=kind,
-        at=Times((at, at)),
-        lasts=Times((lasts, lasts)),
-        part=Span((part, part)),
+        at=DurationRange((at, at)),
+        lasts=DurationRange((lasts, lasts)),
+        part=NumberRange((part, part)),
         size=float(draw.uniform(low, high)) if high else 0.0,
         period=_times(draw, 200, 2500),
         one_way=bool(draw.random() < 0.3),
     )
 
 
-def _times(draw: np.random.Generator, low: float, high: float) -> Times:
+def _times(draw: np.random.Generator, low: float, high: float) -> DurationRange:
     ends = sorted(int(draw.uniform(low, high) * MS) for _ in range(2))
-    return Times((ends[0], ends[1]))
+    return DurationRange((ends[0], ends[1]))
--- a/scaledeal/lab/scenario/rules.py
+++ b/scaledeal/lab/scenario/rules.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from functools import partial
 
-from scaledeal.hcl import Breach, Rule, told
+from scaledeal.hcl import Rule, RuleViolation, check_rules
 from scaledeal.lab.scenario.types import Class, Clients, Model, Network, Scenario, Servers, Trouble
 
 LONGEST = 2 * 86_400_000_000_000  # ns
@@ -34,31 +34,31 @@
 }
 
 
-def _seconds(file: Scenario) -> Iterator[Breach]:
+def _seconds(file: Scenario) -> Iterator[RuleViolation]:
     if not 1_000_000_000 <= file.seconds <= LONGEST:
         yield "seconds", "must lie between 1s and 48h"
 
 
-def _zones(file: Scenario) -> Iterator[Breach]:
+def _zones(file: Scenario) -> Iterator[RuleViolation]:
     if not file.zones:
         yield "zones", "at least one is needed"
     if len(set(file.zones)) < len(file.zones):
         yield "zones", "a name stands twice"
 
 
-def _classes(file: Scenario) -> Iterator[Breach]:
+def _classes(file: Scenario) -> Iterator[RuleViolation]:
     if not file.classes:
         yield "class", 'at least one is needed: class "NAME" { ... }'
     yield from _twice("class", [each.name for each in file.classes])
     for each in file.classes:
-        yield from told((_class,), each)
+        yield from check_rules((_class,), each)
 
 
-def _tenants(file: Scenario) -> Iterator[Breach]:
+def _tenants(file: Scenario) -> Iterator[RuleViolation]:
     yield from _twice("tenant", [each.name for each in file.tenant])
 
 
-def _goal(file: Scenario) -> Iterator[Breach]:
+def _goal(file: Scenario) -> Iterator[RuleViolation]:
     goal = file.goal
     whole = goal.whole + goal.worst_window + goal.worst_class + goal.worst_tenant
     if abs(whole - 1) > 1e-6:
@@ -67,7 +67,7 @@
         yield "goal.worst_tenant", 'must be 0 without tenants: tenant "NAME" { ... }'
 
 
-def _class(each: Class) -> Iterator[Breach]:
+def _class(each: Class) -> Iterator[RuleViolation]:
     place = f'class["{each.name}"]'
     if each.aim <= 0 or each.deadline <= 0:
         yield place, "aim and deadline must be above 0s"
@@ -79,19 +79,19 @@
         yield f"{place}.change", "must be 10ms or longer"
 
 
-def _servers(file: Scenario) -> Iterator[Breach]:
-    yield from told((_models, _per_core), file.servers)
+def _servers(file: Scenario) -> Iterator[RuleViolation]:
+    yield from check_rules((_models, _per_core), file.servers)
 
 
-def _models(servers: Servers) -> Iterator[Breach]:
+def _models(servers: Servers) -> Iterator[RuleViolation]:
     if not servers.model:
         yield "servers.model", 'at least one is needed: model "NAME" { ... }'
     yield from _twice("servers.model", [each.name for each in servers.model])
     for each in servers.model:
-        yield from told((_model,), each)
+        yield from check_rules((_model,), each)
 
 
-def _model(each: Model) -> Iterator[Breach]:
+def _model(each: Model) -> Iterator[RuleViolation]:
     place = f'servers.model["{each.name}"]'
     if each.speed.low <= 0:
         yield f"{place}.speed", "must be above 0"
@@ -99,7 +99,7 @@
         yield f"{place}.cold_from", "must lie above 0 and at most at 1"
 
 
-def _per_core(servers: Servers) -> Iterator[Breach]:
+def _per_core(servers: Servers) -> Iterator[RuleViolation]:
     if servers.per_core.low <= 0:
         yield "servers.per_core", "must be above 0"
     if servers.group_cost and not servers.group_size:
@@ -108,31 +108,31 @@
         yield "servers.report_period", "must be above 0s"
 
 
-def _clients(file: Scenario) -> Iterator[Breach]:
-    yield from told((_life,), file.clients)
+def _clients(file: Scenario) -> Iterator[RuleViolation]:
+    yield from check_rules((_life,), file.clients)
 
 
-def _life(clients: Clients) -> Iterator[Breach]:
+def _life(clients: Clients) -> Iterator[RuleViolation]:
     if clients.life.low < 1_000_000:
         yield "clients.life", "must be 1ms or longer"
 
 
-def _network(file: Scenario) -> Iterator[Breach]:
-    yield from told((_times,), file.network)
+def _network(file: Scenario) -> Iterator[RuleViolation]:
+    yield from check_rules((_times,), file.network)
 
 
-def _times(network: Network) -> Iterator[Breach]:
+def _times(network: Network) -> Iterator[RuleViolation]:
     for name in ("same", "cross", "client"):
         if getattr(network, name).high > 10_000_000_000:
             yield f"network.{name}", "must not be above 10s"
 
 
-def _troubles(file: Scenario) -> Iterator[Breach]:
+def _troubles(file: Scenario) -> Iterator[RuleViolation]:
     for number, each in enumerate(file.trouble):
-        yield from told((partial(_trouble, file, number),), each)
+        yield from check_rules((partial(_trouble, file, number),), each)
 
 
-def _trouble(file: Scenario, number: int, each: Trouble) -> Iterator[Breach]:
+def _trouble(file: Scenario, number: int, each: Trouble) -> Iterator[RuleViolation]:
     place = f'trouble["{each.name}"]'
     if each.at.high > file.seconds:
         yield f"{place}.at", f"is past the end of the day ({file.seconds})"
@@ -151,7 +151,7 @@
         yield f"{place}.size", "must lie above 0 and at most at 1: the share of the fleet replaced at a time"
 
 
-def _twice(place: str, names: list[str]) -> Iterator[Breach]:
+def _twice(place: str, names: list[str]) -> Iterator[RuleViolation]:
     for name in sorted({name for name in names if names.count(name) > 1}):
         yield f'{place}["{name}"]', "stands twice"
     if "" in names:
--- a/scaledeal/operator/__init__.py
+++ b/scaledeal/operator/__init__.py
@@ -1,8 +1,8 @@
-"""The operators' own file: HCL under ``deploy/``, read, checked and told as msgspec types.
+"""The operators' settings file: HCL under ``deploy/``, decoded into msgspec types and checked.
 
-Everything that is wrong with a file is told at once, each with its place and reason; a file is taken whole or
-not at all. This package may import ``scaledeal.hcl``, ``scaledeal.settings`` and ``scaledeal.interface``, and nothing
-that opens a socket. The platform's ``python -m scaledeal`` does not import it.
+All faults of a file are reported together, each with its place and reason; a file with a fault is rejected as a whole.
+This package may import ``scaledeal.hcl``, ``scaledeal.settings`` and ``scaledeal.interface``, and nothing that opens a
+socket. The platform's ``python -m scaledeal`` does not import it.
 """
 
 from scaledeal.hcl import Duration, Fault, FileError
--- a/scaledeal/operator/reading.py
+++ b/scaledeal/operator/reading.py
@@ -1,4 +1,4 @@
-"""Reads the operators' file."""
+"""Read the operators' file."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
 
 
 def read(path: Path, document: Document | None = None) -> Installation:
-    """Read a file and check it against the rules; raise FileError with all its faults."""
+    """Read a file and check it against the rules; raise FileError with all its faults.
+
+    ``document`` holds the platform's settings; without it, rules that depend on them are skipped.
+    """
     return read_text(read_file(path), document)
 
 
 def read_text(text: str, document: Document | None = None) -> Installation:
-    """Read the text of a file; ``document`` holds the platform's settings, where they are known."""
+    """Do as ``read`` for the text of a file."""
     return read_as(text, Installation, rules(document))
--- a/scaledeal/operator/types.py
+++ b/scaledeal/operator/types.py
@@ -1,4 +1,4 @@
-"""What the operators' file may say, as types; every figure's unit and bounds stand here."""
+"""Types of the operators' file, with the unit and bounds of every value. Durations are in ns."""
 
 from __future__ import annotations
 
@@ -8,60 +8,60 @@
 
 from scaledeal.hcl import Duration
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=255)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000)]
 
 
 class QuicRule(msgspec.Struct, frozen=True, kw_only=True, rename={"class_name": "class"}):
-    """What a ClientHello asks for: the first rule whose server name and protocol both match.
+    """Settings of the flows whose ClientHello matches; the first rule whose SNI and ALPN both match applies.
 
-    Empty lists match anything. A server name is matched whole, or by ``*.`` and what follows the first label.
+    An empty list matches anything. A server name matches an equal pattern, or ``*.`` and the labels after its first.
     """
 
     name: str = ""
     class_name: Name
     sni: tuple[Name, ...] = ()
     alpn: tuple[Name, ...] = ()
-    deadline: Duration | None = None  # none: the class's own
+    deadline: Duration | None = None  # None: the class's deadline
     key_from: Literal["address", "sni", "id"] = "address"
-    group_from: Literal["none", "sni", "label"] = "none"  # label: the server name's first
+    group_from: Literal["none", "sni", "label"] = "none"  # label: first label of the server name
     tenant: Annotated[int, msgspec.Meta(ge=0, le=10_000)] = 0
 
 
 class Quic(msgspec.Struct, frozen=True, kw_only=True):
-    """Where QUIC flows come in, and their bounds."""
+    """The QUIC listener, its rules and its limits."""
 
     listen: Name
     keys: Name  # path of the key file
     rule: tuple[QuicRule, ...]
-    idle: Duration = Duration(30_000 * MS)  # a path without a datagram for so long is forgotten
+    idle: Duration = Duration(30_000 * NS_PER_MS)  # a path without a datagram for this long is removed
     max_flows: Count = 10_000
-    max_paths: Count = 11_000  # descriptors: one for each path
+    max_paths: Count = 11_000  # bounds file descriptors: each path uses one
     paths_a_flow: Annotated[int, msgspec.Meta(ge=2, le=16)] = 4
-    retry_above: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 256  # set-ups under way past which Retry is sent
+    retry_above: Annotated[int, msgspec.Meta(ge=0, le=1_000_000)] = 256  # set-ups in progress above which Retry is sent
     on_move: Literal["reset", "keep"] = "reset"
 
 
 class Resume(msgspec.Struct, frozen=True, kw_only=True):
-    """Resumable sessions, and who owns them."""
+    """Resumable sessions and the ledger that owns them."""
 
     keys: Name  # path of the key file
-    owner: Name  # the name of the ledger: relays that share it give it the same one
-    ledger: str = ""  # its path; none: memory, which a restart forgets
-    expiry: Duration = Duration(120_000 * MS)  # after the last word of a session
+    owner: Name  # name of the ledger; relays that share a ledger must use the same name
+    ledger: str = ""  # path of the ledger; empty: in memory, lost at a restart
+    expiry: Duration = Duration(120_000 * NS_PER_MS)  # after the last message of a session
     max_sessions: Count = 100_000
 
 
 class Log(msgspec.Struct, frozen=True, kw_only=True):
-    """How the new parts write their log."""
+    """Format and level of the structured log, which QUIC and resumable sessions write."""
 
     format: Literal["json", "console"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 class Installation(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file."""
+    """The whole operators' file."""
 
     log: Log = Log()
     quic: Quic | None = None
