--- a/scaledeal/cli/__init__.py
+++ b/scaledeal/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: ``scaledeal``, on typer. It may import everything; nothing imports it.
+"""The command line ``scaledeal``, built on typer. It may import every package; no package imports it.
 
-Each group of commands is a module of its own, and loads what it needs when it is called.
+Each group of commands is a module of its own, and imports what a command needs when the command is called.
 """
--- a/scaledeal/cli/checking.py
+++ b/scaledeal/cli/checking.py
@@ -1,4 +1,4 @@
-"""What ``scaledeal check`` looks at: the file, the platform's settings if they are given, and the key file."""
+"""Checks of ``scaledeal check``: the operators' file, the platform's settings if given, and the key files."""
 
 from __future__ import annotations
 
@@ -10,29 +10,33 @@
 from scaledeal.settings import Document
 
 
-class _File(msgspec.Struct, frozen=True):
-    """The part of PROXY_CONFIG that the check needs."""
+class _PlatformConfig(msgspec.Struct, frozen=True):
+    """The part of PROXY_CONFIG that the check reads."""
 
     settings: Document = Document()
 
 
-def faults(file: Path, config: Path | None) -> list[Fault]:
-    """Return everything that is wrong."""
+def find_faults(file: Path, config: Path | None) -> list[Fault]:
+    """Return all faults of the operators' file; if ``config`` has a fault, return only that one."""
     document = None
     if config is not None:
         try:
-            document = msgspec.json.decode(config.read_bytes(), type=_File).settings
+            document = msgspec.json.decode(config.read_bytes(), type=_PlatformConfig).settings
             document.settings()
         except (OSError, msgspec.MsgspecError, ValueError, RecursionError) as error:
             return [Fault(0, str(config), str(error))]
-        if document.relays() != int(document.siblings):  # a relay starts with it, and logs it
-            return [Fault(0, str(config), f"settings: Siblings: {document.siblings:g}, where Me is {document.me:g}")]
+        if document.relays() != int(document.siblings):  # a relay starts all the same, and only logs it
+            return [
+                Fault(0, str(config), f"settings: Siblings: {document.siblings:g} does not fit Me: {document.me:g}")
+            ]
     try:
         installation = read(file, document)
     except FileError as error:
         return error.faults
-    found = _key_faults("quic.keys", installation.quic.keys) if installation.quic is not None else []
-    return found + (_key_faults("resume.keys", installation.resume.keys) if installation.resume is not None else [])
+    key_faults = _key_faults("quic.keys", installation.quic.keys) if installation.quic is not None else []
+    return key_faults + (
+        _key_faults("resume.keys", installation.resume.keys) if installation.resume is not None else []
+    )
 
 
 def _key_faults(place: str, path: str) -> list[Fault]:
--- a/scaledeal/cli/main.py
+++ b/scaledeal/cli/main.py
@@ -1,4 +1,4 @@
-"""The console script ``scaledeal``: its commands and their exit codes."""
+"""The console script ``scaledeal``: its top-level commands and exit codes."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 from scaledeal.cli import keys, lab, sessions
 
-EXIT_CODES = """Exit codes: 0 all went well; 2 something that was given can't be used, and the text says what and
-where; 1 the program failed."""
+EXIT_CODES = """Exit codes: 0 success; 1 the program failed; 2 an argument, file or setting is invalid, and the message
+says which and where."""
 
 app = typer.Typer(
     no_args_is_help=True,
@@ -28,27 +28,29 @@
 OperatorFile = Annotated[Path, typer.Argument(metavar="FILE", help="The operators' file.")]
 
 
-def _version(wanted: bool) -> None:
-    if wanted:
+def _print_version(requested: bool) -> None:
+    if requested:
         typer.echo(version("scaledeal"))
         raise typer.Exit
 
 
 @app.callback()
 def main(
-    told: Annotated[bool, typer.Option("--version", callback=_version, is_eager=True, help="Print it.")] = False,
+    show_version: Annotated[
+        bool, typer.Option("--version", callback=_print_version, is_eager=True, help="Print the version and exit.")
+    ] = False,
 ) -> None:
-    """Run a relay, check its settings, keep its keys and sessions."""
+    """Run a relay, check its settings, and manage its keys and sessions."""
 
 
 @app.command()
 def run(
     file: Annotated[Path, typer.Option("--file", "-f", metavar="FILE", help="The operators' file.")] = DEFAULT_FILE,
 ) -> None:
-    """Run one relay with what the operators' file adds.
+    """Run one relay with the extensions that the operators' file enables.
 
-    Where it is told by the environment and PROXY_CONFIG, as with `python -m scaledeal`. SIGHUP reads both files
-    again, SIGTERM moves the clients and ends it.
+    The environment and PROXY_CONFIG set its addresses and platform settings, as with `python -m scaledeal`. SIGHUP
+    reloads both files; SIGTERM moves the clients to other relays and ends the process.
     """
     from scaledeal.cli.running import run_relay
 
@@ -65,15 +67,15 @@
         ),
     ] = None,
 ) -> None:
-    """Tell everything that is wrong with an operators' file, with place and reason."""
-    from scaledeal.cli.checking import faults
+    """Check an operators' file and print all its faults, with place and reason."""
+    from scaledeal.cli.checking import find_faults
 
-    found = faults(file, config)
-    for each in found:
-        typer.echo(f"{file}: {each}", err=True)
-    if found:
+    faults = find_faults(file, config)
+    for fault in faults:
+        typer.echo(f"{file}: {fault}", err=True)
+    if faults:
         raise typer.Exit(2)
-    typer.echo(f"{file}: can be obeyed")
+    typer.echo(f"{file}: valid")
 
 
 if __name__ == "__main__":
--- a/scaledeal/cli/running.py
+++ b/scaledeal/cli/running.py
@@ -1,4 +1,4 @@
-"""``scaledeal run``: the platform's relay, with what the operators' file adds."""
+"""``scaledeal run``: the platform's relay with the extensions that the operators' file enables."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def run_relay(file: Path) -> int:
-    """Run until told to stop; return the exit code."""
+    """Run a relay until it is stopped by a signal; return the exit code, 2 for an invalid file."""
     from scaledeal.__main__ import main
 
     try:
@@ -23,12 +23,15 @@
         for fault in error.faults:
             print(f"{file}: {fault}", file=sys.stderr)
         return 2
-    log_as(installation.log)
+    configure_logging(installation.log)
     return main(lambda relay: extend(relay, installation, file))
 
 
 def extend(relay: Relay, installation: Installation, file: Path) -> None:
-    """Give a relay its further sides; raise ConfigError where the file can't be obeyed here."""
+    """Add the QUIC and resume sides that the file enables to a relay.
+
+    Read the file again, now with the relay's platform settings; raise ConfigError if it is invalid with these.
+    """
     document = relay.config.document
     try:
         installation = read(file, document)
@@ -37,28 +40,30 @@
     if installation.quic is not None:
         from scaledeal.quic.sockets.side import QuicSide
 
-        def again() -> Quic | None:
+        def reload_quic() -> Quic | None:
             return read(file, document).quic
 
-        relay.sides.append(QuicSide(relay, installation.quic, again))
+        relay.sides.append(QuicSide(relay, installation.quic, reload_quic))
     if installation.resume is not None:
         from scaledeal.resume.wire.side import ResumeSide
 
         relay.sides.append(ResumeSide(relay, installation.resume, lambda: read(file, document).resume))
 
 
-def log_as(told: Log) -> None:
-    """Write the new parts' log: one event a line on standard error, JSON or for people."""
-    last: structlog.types.Processor = (
-        structlog.processors.JSONRenderer() if told.format == "json" else structlog.dev.ConsoleRenderer(colors=False)
+def configure_logging(settings: Log) -> None:
+    """Configure structlog to write one event a line to standard error, as JSON or human-readable text."""
+    renderer: structlog.types.Processor = (
+        structlog.processors.JSONRenderer()
+        if settings.format == "json"
+        else structlog.dev.ConsoleRenderer(colors=False)
     )
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper("iso"),
             structlog.processors.format_exc_info,
-            last,
+            renderer,
         ],
-        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, told.level.upper())),
+        wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, settings.level.upper())),
         logger_factory=structlog.PrintLoggerFactory(sys.stderr),
     )
--- a/scaledeal/cli/sessions.py
+++ b/scaledeal/cli/sessions.py
@@ -1,4 +1,4 @@
-"""``scaledeal sessions``: a ledger of resumable sessions, looked at and kept in order."""
+"""``scaledeal sessions``: commands that inspect and maintain a ledger of resumable sessions."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 @contextmanager
-def _ledger(path: Path) -> Iterator[Ledger]:
-    """Open a ledger that is there; end with code 2 and one plain line where it can't be believed."""
+def _open_ledger(path: Path) -> Iterator[Ledger]:
+    """Open an existing ledger; on LedgerError, such as a missing or corrupt file, print it and exit with code 2."""
     from scaledeal.resume.stores.ledger import Ledger, LedgerError
 
     try:
         if not path.is_file():
-            raise LedgerError(f"{path}: there is no ledger")
+            raise LedgerError(f"{path}: no such ledger")
         ledger = Ledger(path, "cli")
     except LedgerError as error:
         typer.echo(f"scaledeal sessions: {error}", err=True)
@@ -39,52 +39,58 @@
         ledger.close()
 
 
-def _line(each: Register) -> str:
-    left = (each.expires - time.time_ns()) / 1e9  # noqa: TID251 - a command reads the wall clock once
-    state = "answered" if each.answered else f"{left:.0f} s left" if left > 0 else "expired"
+def _describe(register: Register) -> str:
+    remaining_s = (register.expires - time.time_ns()) / 1e9  # noqa: TID251 - a command reads the wall clock once
+    state = "answered" if register.answered else f"{remaining_s:.0f} s left" if remaining_s > 0 else "expired"
     return (
-        f"{each.session}  epoch {each.epoch}  at {each.holder}  applied {each.applied}  sent {each.sent}  "
-        f"unheard {len(each.outbox)}  {state}"
+        f"{register.session}  epoch {register.epoch}  at {register.holder}  applied {register.applied}  "
+        f"sent {register.sent}  unacknowledged {len(register.outbox)}  {state}"
     )
 
 
 @app.command("list")
 def list_sessions(ledger: LedgerPath) -> None:
-    """List the sessions, the next to expire first."""
-    with _ledger(ledger) as opened:
-        for each in opened.sessions():
-            typer.echo(_line(each))
+    """List the sessions, in the order in which they expire."""
+    with _open_ledger(ledger) as opened:
+        for register in opened.sessions():
+            typer.echo(_describe(register))
 
 
 @app.command()
 def show(ledger: LedgerPath, session: Annotated[str, typer.Argument(metavar="SESSION")]) -> None:
-    """Show one session; its state and lines are told by their sizes, as they are its client's."""
-    with _ledger(ledger) as opened:
-        found = opened.get(session)
-        if found is None:
+    """Show one session; of its state only the size and of its lines only the numbers, as their content is private."""
+    with _open_ledger(ledger) as opened:
+        register = opened.get(session)
+        if register is None:
             typer.echo(f"scaledeal sessions: no session {session!r}", err=True)
             raise typer.Exit(2)
-        typer.echo(_line(found))
-        typer.echo(f"state {len(found.state)} B  unheard lines {', '.join(str(number) for number, _ in found.outbox)}")
+        typer.echo(_describe(register))
+        typer.echo(
+            f"state {len(register.state)} B  unacknowledged lines "
+            f"{', '.join(str(number) for number, _ in register.outbox)}"
+        )
 
 
 @app.command()
 def expire(
     ledger: LedgerPath,
     compact: Annotated[
-        bool, typer.Option("--compact", help="Give their room back; only while no relay uses it.")
+        bool,
+        typer.Option(
+            "--compact", help="Also return the free space to the file system; only while no relay uses the ledger."
+        ),
     ] = False,
 ) -> None:
-    """Forget the sessions whose time is up. A relay does so by itself."""
-    with _ledger(ledger) as opened:
+    """Delete expired sessions. A running relay does this by itself."""
+    with _open_ledger(ledger) as opened:
         now = time.time_ns()  # noqa: TID251 - a command reads the wall clock once
-        typer.echo(f"{opened.expire(now)} sessions forgotten")
+        typer.echo(f"{opened.expire(now)} expired sessions deleted")
         if compact:
             opened.compact()
 
 
 @app.command()
 def verify(ledger: LedgerPath) -> None:
-    """Read everything, and tell whether it is as it was written."""
-    with _ledger(ledger) as opened:
-        typer.echo(f"{ledger}: {sum(1 for _ in opened.sessions())} sessions, as they were written")
+    """Read the whole ledger and verify the checksum of every session."""
+    with _open_ledger(ledger) as opened:
+        typer.echo(f"{ledger}: {sum(1 for _ in opened.sessions())} sessions, all checksums match")
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -226,5 +226,5 @@
     read = config.read({"PROXY_CONFIG": str(path), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1"})
     assert read.settings.siblings == taken
     assert ("taken as" in caplog.text) is (int(siblings) != taken)
-    found = checking.faults(tmp_path / "scaledeal.hcl", path)
+    found = checking.find_faults(tmp_path / "scaledeal.hcl", path)
     assert ("Siblings" in str(found)) is (int(siblings) != taken), found
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -126,7 +126,7 @@
     assert line.startswith("1/40"), line
     os.kill(process.pid, signal.SIGINT)
     rest = process.stderr.read()
-    assert process.wait() == 1 and "the same call goes on" in rest, rest
+    assert process.wait() == 1 and "repeat the command to resume" in rest, rest
 
 
 def test_statistics_say_what_the_pairs_say():
@@ -205,7 +205,9 @@
     (tmp_path / "broken.py").write_text(lab_broken.RAISES)
     broken = ["--variant", f"file:{tmp_path / 'broken.py'}"]
     crashed = run.invoke(app, ["lab", "run", str(tmp_path / "small.hcl"), *broken])
-    assert crashed.exit_code == 1 and "crash: ZeroDivisionError" in crashed.output and "again by:" in crashed.output
+    assert (
+        crashed.exit_code == 1 and "crash: ZeroDivisionError" in crashed.output and "reproduce with:" in crashed.output
+    )
     assert run.invoke(app, ["lab", "run", "nowhere"]).exit_code == 2
     store = str(tmp_path / "lab.sqlite")
     assert run.invoke(app, ["lab", "results", "--store", store]).exit_code == 2
--- a/tests/test_operator_file.py
+++ b/tests/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operators' file and the command line: bad files are refused with all that is wrong, good ones are taken."""
+"""The operators' file and the command line: invalid files are refused with all their faults, valid ones decoded."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from scaledeal.settings import Document
 
 ROOT = Path(__file__).parent.parent
-GOOD = """
+VALID = """
 quic {
   listen    = "127.0.0.1:4433" # a comment
   keys      = "keys"
@@ -37,35 +37,35 @@
 }
 
 
-def document() -> Document:
+def platform_settings() -> Document:
     import msgspec
 
     return msgspec.convert(CONFIG["settings"], Document)
 
 
-def refused(text: str, known: Document | None = None) -> list[str]:
-    with pytest.raises(FileError) as told:
-        read_text(text, known)
-    return [str(fault) for fault in told.value.faults]
+def faults_of(text: str, document: Document | None = None) -> list[str]:
+    with pytest.raises(FileError) as raised:
+        read_text(text, document)
+    return [str(fault) for fault in raised.value.faults]
 
 
-def test_a_good_file() -> None:
-    file = read_text(GOOD, document())
+def test_valid_file() -> None:
+    file = read_text(VALID, platform_settings())
     assert file.quic is not None and file.quic.idle == 1_500_000_000
     assert [rule.name for rule in file.quic.rule] == ["overlay", "all"]
     assert file.quic.rule[0].sni == ("*.overlay.example", "overlay.example")
 
 
-def test_the_file_that_ships_is_good() -> None:
+def test_shipped_file_is_valid() -> None:
     assert read(ROOT / "deploy" / "scaledeal.hcl").quic is None
 
 
-def test_an_empty_file_changes_nothing() -> None:
+def test_empty_file_enables_no_quic() -> None:
     assert read_text("").quic is None
 
 
 @pytest.mark.parametrize(
-    ("change", "to", "line", "reason"),
+    ("original", "replacement", "line", "reason"),
     [
         ('"127.0.0.1:4433"', '"127.0.0.1"', 3, "quic.listen: host:port was expected"),
         ('"1.5s"', "1.5", 5, "quic.idle: expected a duration"),
@@ -91,69 +91,68 @@
         ("quic {", "quick {", 2, "quick: unknown name"),
     ],
 )
-def test_one_thing_wrong(change: str, to: str, line: int, reason: str) -> None:
-    """Each is refused, with its line and its reason."""
-    assert change in GOOD
-    faults = refused(GOOD.replace(change, to, 1), document())
+def test_single_fault(original: str, replacement: str, line: int, reason: str) -> None:
+    """A file with one fault is refused with the fault's line and reason."""
+    assert original in VALID
+    faults = faults_of(VALID.replace(original, replacement, 1), platform_settings())
     assert any(fault.startswith(f"line {line}: ") and reason in fault for fault in faults), faults
 
 
-def test_everything_wrong_is_told_at_once() -> None:
-    """A file that is mended one fault a try is mended at the worst time."""
-    text = GOOD.replace('"1.5s"', '"x"').replace("max_flows = 10", "max_flows = 0")
+def test_all_faults_are_reported_together() -> None:
+    """If each try reported one fault only, an operator would need several tries, possibly during an incident."""
+    text = VALID.replace('"1.5s"', '"x"').replace("max_flows = 10", "max_flows = 0")
     text = text.replace('{ class = "browse" }', "{}")
-    assert len(refused(text)) == 3
+    assert len(faults_of(text)) == 3
 
 
-def test_a_rule_that_is_never_reached() -> None:
-    text = GOOD.replace('rule "overlay" {', 'rule "first" { class = "browse" }\n  rule "overlay" {')
-    assert any("never reached" in fault for fault in refused(text))
+def test_unreachable_rule() -> None:
+    text = VALID.replace('rule "overlay" {', 'rule "first" { class = "browse" }\n  rule "overlay" {')
+    assert any("never reached" in fault for fault in faults_of(text))
 
 
 @pytest.mark.parametrize("text", ["quic {", "quic }", "= 3", 'a = "b', "{" * 500, "\x00"])
-def test_no_hcl_at_all(text: str) -> None:
-    assert refused(text)
+def test_text_that_is_not_hcl(text: str) -> None:
+    assert faults_of(text)
 
 
-def test_files_that_can_not_be_read(tmp_path: Path) -> None:
+def test_unreadable_files(tmp_path: Path) -> None:
     (tmp_path / "binary").write_bytes(b"\xff\xfe")
     for name in ("none", "binary", "."):
         with pytest.raises(FileError):
             read(tmp_path / name)
 
 
-def test_the_commands(tmp_path: Path) -> None:
-    """What a person types, and the exit codes."""
-    run = CliRunner()
+def test_commands_and_their_exit_codes(tmp_path: Path) -> None:
+    runner = CliRunner()
     keys, file, config = tmp_path / "keys", tmp_path / "file.hcl", tmp_path / "config.json"
-    file.write_text(GOOD.replace('"keys"', f'"{keys}"'))
+    file.write_text(VALID.replace('"keys"', f'"{keys}"'))
     config.write_text(json.dumps(CONFIG))
-    told = run.invoke(app, ["check", str(file)])
-    assert told.exit_code == 2 and "quic.keys" in told.output
-    assert run.invoke(app, ["keys", "new", "-k", str(keys)]).exit_code == 0
-    assert run.invoke(app, ["check", str(file), "--config", str(config)]).exit_code == 0
-    assert run.invoke(app, ["keys", "new", "-k", str(keys), "--nonce-length", "3"]).exit_code == 2
-    assert run.invoke(app, ["keys", "new", "-k", str(keys), "--plaintext"]).exit_code == 0
-    listed = run.invoke(app, ["keys", "list", "-k", str(keys)]).output
+    checked = runner.invoke(app, ["check", str(file)])
+    assert checked.exit_code == 2 and "quic.keys" in checked.output
+    assert runner.invoke(app, ["keys", "new", "-k", str(keys)]).exit_code == 0
+    assert runner.invoke(app, ["check", str(file), "--config", str(config)]).exit_code == 0
+    assert runner.invoke(app, ["keys", "new", "-k", str(keys), "--nonce-length", "3"]).exit_code == 2
+    assert runner.invoke(app, ["keys", "new", "-k", str(keys), "--plaintext"]).exit_code == 0
+    listed = runner.invoke(app, ["keys", "list", "-k", str(keys)]).output
     assert "config 0  old" in listed and "config 1  active  plaintext" in listed
     from scaledeal.quic.ids import key_file
     from scaledeal.quic.ids.servers import server_id
 
     ring = key_file.read(keys)
-    assert not any(each.key and each.key in listed for each in ring.configs)
+    assert not any(entry.key and entry.key in listed for entry in ring.configs)
     cid = ring.codecs()[0].new(server_id("s-1", 8)).hex()
-    shown = run.invoke(app, ["keys", "show-id", cid, "-k", str(keys), "--server", "s-0", "--server", "s-1"])
+    shown = runner.invoke(app, ["keys", "show-id", cid, "-k", str(keys), "--server", "s-0", "--server", "s-1"])
     assert shown.exit_code == 0 and shown.output.splitlines()[1:] == ["server s-1"]
-    assert run.invoke(app, ["keys", "show-id", "zz", "-k", str(keys)]).exit_code == 2
-    assert run.invoke(app, ["keys", "show-id", "ff", "-k", str(keys)]).exit_code == 2
-    assert run.invoke(app, ["keys", "retire", "1", "-k", str(keys)]).exit_code == 2
-    assert run.invoke(app, ["keys", "retire", "0", "-k", str(keys)]).exit_code == 0
-    assert run.invoke(app, ["keys", "show-id", cid, "-k", str(keys)]).exit_code == 2
-    assert run.invoke(app, ["--help"]).exit_code == 0
+    assert runner.invoke(app, ["keys", "show-id", "zz", "-k", str(keys)]).exit_code == 2
+    assert runner.invoke(app, ["keys", "show-id", "ff", "-k", str(keys)]).exit_code == 2
+    assert runner.invoke(app, ["keys", "retire", "1", "-k", str(keys)]).exit_code == 2
+    assert runner.invoke(app, ["keys", "retire", "0", "-k", str(keys)]).exit_code == 0
+    assert runner.invoke(app, ["keys", "show-id", cid, "-k", str(keys)]).exit_code == 2
+    assert runner.invoke(app, ["--help"]).exit_code == 0
 
 
-def test_the_platforms_relay_loads_none_of_it() -> None:
-    """Days there have 40 MB: what is off must not be in memory."""
+def test_platform_relay_does_not_import_the_extensions() -> None:
+    """A day on the platform has 40 MB of memory, so extensions that are off must not be loaded."""
     code = (
         "import sys, scaledeal.__main__\n"
         "print([n for n in sys.modules if n.split('.')[0] in ('structlog', 'typer', 'hcl2', 'lark', 'aioquic')"
@@ -167,21 +166,25 @@
     )
 
 
-def test_a_start_that_can_not_be_obeyed_ends_with_2(tmp_path: Path) -> None:
-    """A relay that starts without what its operators wrote serves something else."""
+def test_start_with_an_invalid_file_exits_with_2(tmp_path: Path) -> None:
+    """A relay that ignored an invalid file and started would serve with other settings than its operators wrote."""
     (tmp_path / "file.hcl").write_text("quic {\n}\n")
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "scaledeal.cli.main", "run", "-f", str(tmp_path / "file.hcl")],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 2 and "quic.listen: is missing" in done.stderr and "Traceback" not in done.stderr
+    assert (
+        completed.returncode == 2
+        and "quic.listen: is missing" in completed.stderr
+        and "Traceback" not in completed.stderr
+    )
 
 
-def test_what_breaks_a_rule_is_told_with_what_is_no_value():
-    # Guards against a file that is mended fault by fault, one start each.
+def test_rule_violations_are_reported_with_invalid_values():
+    # Rules that ran only on a file without invalid values would report their faults one start later.
     text = (
         'resume {\n  keys = "k"\n  owner = "o"\n  expiry = "1s"\n}\n'
         'quic {\n  listen = "here"\n  keys = "k"\n  idle = "2h"\n'
@@ -189,19 +192,19 @@
     )
     with pytest.raises(FileError) as raised:
         read_text(text)
-    told = [(fault.line, fault.place) for fault in raised.value.faults]
-    assert told == [
+    places = [(fault.line, fault.place) for fault in raised.value.faults]
+    assert places == [
         (4, "resume.expiry"),
         (7, "quic.listen"),
         (9, "quic.idle"),
         (10, "quic.max_flows"),
         (13, 'quic.rule["a"].tenant'),
         (14, 'quic.rule["a"].deadline'),
-    ], told
+    ], places
 
 
 @pytest.mark.parametrize("value", ["-1", "-1.5", '-"x"', "1 + 2", "-true"])
-def test_a_number_with_a_sign_or_a_sum_is_told_with_its_block(value: str):
+def test_signed_number_or_expression_is_reported_with_its_block(value: str):
     with pytest.raises(FileError) as raised:
         read_text(
             f'quic {{\n  listen = "a:1"\n  keys = "k"\n  max_flows = {value}\n'
