--- a/scaledeal/fleet/__init__.py
+++ b/scaledeal/fleet/__init__.py
@@ -1,8 +1,8 @@
-"""How many relays behave together when parts of them fail: duties that one relay alone may hold, and who is alive.
+"""Coordination among relays under partial failure: leases for exclusive duties, and membership.
 
-In the order of reading: ``core`` (tables and machines without I/O or clocks, which the model checker and the laboratory
-walk). What ties them to processes is to come: see docs/leases.md. It may import msgspec alone.
+Read ``core`` first: state machines without I/O or clocks, which the model checker and the laboratory explore. The code
+that connects them to processes does not exist yet: see docs/leases.md. This package may import only msgspec.
 
-Promised: no two relays believe at one moment that they hold a duty, as long as clocks run within the drift that the
-settings state; and whoever acts late is refused by its token.
+Guarantee: no two relays believe at the same moment that they hold a duty, as long as clocks run within the drift that
+the settings state; and an act that arrives late is refused by its fencing token.
 """
--- a/scaledeal/fleet/core/__init__.py
+++ b/scaledeal/fleet/core/__init__.py
@@ -1,1 +1,1 @@
-"""The choices of a fleet, as machines that take moments and events and give back what to do."""
+"""State machines of the fleet's coordination: they take times and events as arguments and return what to send."""
--- a/tests/test_lease_model.py
+++ b/tests/test_lease_model.py
@@ -1,108 +1,116 @@
-"""Leases: the protocol's state space, mutants of it, and one seat's table."""
+"""Leases: the protocol's state space, mutants without one guard, and single participants with a table."""
 
 from __future__ import annotations
 
 import pytest
 from minicheck import check_safety
 
-from scaledeal.fleet.core.lease import Fence, Grant, Release, Renew, Seat, Take, Timing, apply
-from scaledeal.lab.leasing import FAST, INVARIANTS, MUTANTS, SLOW, SOUND, protocol
+from scaledeal.fleet.core.lease import Fence, Grant, LeaseParticipant, Release, Renew, Take, Timing, apply
+from scaledeal.lab.leasing import ALL_GUARDS, FAST_RATE, INVARIANTS, MUTANTS, SLOW_RATE, protocol
 
-SPAN = 3000
-TIMING = Timing(SPAN, 0.05)
+DURATION = 3000
+TIMING = Timing(DURATION, 0.05)
 
 
-@pytest.mark.parametrize("paces", [(SLOW, FAST), (FAST, SLOW)])
-def test_no_two_hold_and_no_late_act_goes_through_in_the_whole_state_space(paces: tuple[int, ...]) -> None:
-    found = check_safety(protocol(SOUND, paces, 4), 400_000)
+@pytest.mark.parametrize("rates", [(SLOW_RATE, FAST_RATE), (FAST_RATE, SLOW_RATE)])
+def test_whole_state_space_has_one_holder_and_no_stale_act(rates: tuple[int, ...]) -> None:
+    found = check_safety(protocol(ALL_GUARDS, rates, 4), 400_000)
     assert found["exhaustive"] and found["reachable_states"] > 10_000, found["reachable_states"]
-    assert {name for name, each in found["properties"].items() if each["holds"]} == set(INVARIANTS)
+    assert {name for name, result in found["properties"].items() if result["holds"]} == set(INVARIANTS)
 
 
 @pytest.mark.parametrize(
-    ("name", "breaks"),
+    ("name", "violated"),
     [
-        ("no margin for drift", "one holder at a moment"),
-        ("a span counted from the answer", "one holder at a moment"),
-        ("a renewal that the table does not compare", "one holder at a moment"),
-        ("a token that nobody checks", "no act after a newer one"),
+        ("no margin for drift", "at most one holder at any time"),
+        ("duration counted from the answer", "at most one holder at any time"),
+        ("table ignores renewals", "at most one holder at any time"),
+        ("resource ignores tokens", "no act admitted after a newer one"),
     ],
 )
-def test_each_mutant_is_caught(name: str, breaks: str) -> None:
-    found = check_safety(protocol(MUTANTS[name]), 150_000)["properties"][breaks]
-    assert found["holds"] is False, f"{name}: not seen in the states walked"
+def test_each_mutant_violates_its_invariant(name: str, violated: str) -> None:
+    found = check_safety(protocol(MUTANTS[name]), 150_000)["properties"][violated]
+    assert found["holds"] is False, f"{name}: no violation in the explored states"
 
 
-def granted(table: dict[str, Grant], seat: Seat, now: int) -> Grant:
-    """Have a seat ask, the table agree, and the seat learn of it at once."""
-    command = seat.due(now)
+def request_grant(table: dict[str, Grant], participant: LeaseParticipant, now: int) -> Grant:
+    """Apply a participant's command to the table and let it observe the resulting grant, all at one moment."""
+    command = participant.next_command(now)
     assert command is not None
-    made = apply(table, command)
-    assert made is not None
-    seat.learned(now, made)
-    return made
+    grant = apply(table, command)
+    assert grant is not None
+    participant.observe(now, grant)
+    return grant
 
 
-def test_a_lease_goes_from_holder_to_holder_with_a_higher_token_each_time() -> None:
+def test_each_new_holder_gets_a_higher_token() -> None:
     table: dict[str, Grant] = {}
-    one, other = Seat("d", "n0#0", TIMING), Seat("d", "n1#0", TIMING)
-    for seat in (one, other):
-        seat.learned(0, Grant("d"))
-    assert granted(table, one, 0).token == 1 and one.token(SPAN - 1) == 1
-    other.learned(10, table["d"])
-    assert other.due(10 + TIMING.patience - 1) is None, "before its patience is over nobody may take a lease"
-    assert one.token(SPAN) == 0, "a holder that renewed nothing holds no longer than a span from its asking"
-    assert granted(table, other, 10 + TIMING.patience).token == 2
-    assert one.due(SPAN + 1) is None and one.token(SPAN + 1) == 0, "the old one learns first, and contends later"
-
-
-def test_a_renewal_moves_the_end_from_its_asking_and_keeps_others_waiting() -> None:
+    first, second = LeaseParticipant("d", "n0#0", TIMING), LeaseParticipant("d", "n1#0", TIMING)
+    for participant in (first, second):
+        participant.observe(0, Grant("d"))
+    assert request_grant(table, first, 0).token == 1 and first.token(DURATION - 1) == 1
+    second.observe(10, table["d"])
+    assert second.next_command(10 + TIMING.takeover_wait - 1) is None, (
+        "no contender may take a lease before takeover_wait is over"
+    )
+    assert first.token(DURATION) == 0, "without a renewal a lease ends one duration after its request"
+    assert request_grant(table, second, 10 + TIMING.takeover_wait).token == 2
+    assert first.next_command(DURATION + 1) is None and first.token(DURATION + 1) == 0, (
+        "the former holder must observe the new grant before it may contend"
+    )
+
+
+def test_a_renewal_extends_the_lease_from_its_request_and_prevents_a_takeover() -> None:
     table: dict[str, Grant] = {}
-    one, other = Seat("d", "n0#0", TIMING), Seat("d", "n1#0", TIMING)
-    one.learned(0, Grant("d"))
-    granted(table, one, 0)
-    other.learned(5, table["d"])
-    assert one.due(999) is None and isinstance(first := one.due(1000), Renew)
-    again = one.due(2000)
-    assert again == first, "what was not answered is asked again"
-    made = apply(table, first)
-    assert made is not None and apply(table, first) is None, "a command that comes twice counts once"
-    one.learned(2900, made)
-    assert one.token(1000 + SPAN - 1) == 1 and one.token(1000 + SPAN) == 0, "counted from the first asking"
-    late = Take("d", "n1#0", 1, 0)
-    assert apply(table, late) is None, "a taker that did not see the renewal is refused"
-
-
-def test_a_process_that_starts_again_holds_nothing_that_an_earlier_one_was_granted() -> None:
-    seat = Seat("d", "n0#1", TIMING)
-    seat.learned(0, Grant("d", "n0#1", 3, 2))  # even under its own name
-    assert seat.token(1) == 0 and seat.due(TIMING.patience - 1) is None
-    assert isinstance(seat.due(TIMING.patience), Take)
-
-
-def test_a_holder_that_drains_gives_back_and_the_next_need_not_wait() -> None:
+    first, second = LeaseParticipant("d", "n0#0", TIMING), LeaseParticipant("d", "n1#0", TIMING)
+    first.observe(0, Grant("d"))
+    request_grant(table, first, 0)
+    second.observe(5, table["d"])
+    assert first.next_command(999) is None and isinstance(renew := first.next_command(1000), Renew)
+    repeated = first.next_command(2000)
+    assert repeated == renew, "an unanswered request is repeated"
+    grant = apply(table, renew)
+    assert grant is not None and apply(table, renew) is None, "a duplicate command takes effect once"
+    first.observe(2900, grant)
+    assert first.token(1000 + DURATION - 1) == 1 and first.token(1000 + DURATION) == 0, (
+        "the duration counts from the first request"
+    )
+    outdated = Take("d", "n1#0", 1, 0)
+    assert apply(table, outdated) is None, "a taker that has not observed the renewal is refused"
+
+
+def test_a_restarted_process_does_not_hold_the_grant_of_an_earlier_one() -> None:
+    participant = LeaseParticipant("d", "n0#1", TIMING)
+    participant.observe(0, Grant("d", "n0#1", 3, 2))  # granted under the same name
+    assert participant.token(1) == 0 and participant.next_command(TIMING.takeover_wait - 1) is None
+    assert isinstance(participant.next_command(TIMING.takeover_wait), Take)
+
+
+def test_a_draining_holder_releases_so_that_the_next_need_not_wait() -> None:
     table: dict[str, Grant] = {}
-    one, other = Seat("d", "n0#0", TIMING), Seat("d", "n1#0", TIMING, rank=1)
-    one.learned(0, Grant("d"))
-    granted(table, one, 0)
-    one.leave()
-    command = one.due(10)
-    assert isinstance(command, Release) and one.token(10) == 0, "it acts no more once it gave back"
-    made = apply(table, command)
-    assert made is not None
-    other.learned(20, made)
-    assert other.due(20) is None, "a later one lets those before it try"
-    assert granted(table, other, 20 + SPAN // 20).token == 2
-    assert one.due(10 * SPAN) is None, "one that drains does not come back"
-
-
-def test_a_fence_lets_no_older_holder_through() -> None:
+    first, second = LeaseParticipant("d", "n0#0", TIMING), LeaseParticipant("d", "n1#0", TIMING, rank=1)
+    first.observe(0, Grant("d"))
+    request_grant(table, first, 0)
+    first.drain()
+    command = first.next_command(10)
+    assert isinstance(command, Release) and first.token(10) == 0, (
+        "a participant stops acting once it has sent a release"
+    )
+    grant = apply(table, command)
+    assert grant is not None
+    second.observe(20, grant)
+    assert second.next_command(20) is None, "a participant of higher rank waits for the lower ones"
+    assert request_grant(table, second, 20 + DURATION // 20).token == 2
+    assert first.next_command(10 * DURATION) is None, "a drained participant does not contend again"
+
+
+def test_a_fence_refuses_older_tokens() -> None:
     fence = Fence()
     assert [fence.admits(token) for token in (0, 1, 1, 3, 2, 3)] == [False, True, True, True, False, True]
     assert fence.refused == 2
 
 
-@pytest.mark.parametrize(("span", "drift"), [(0, 0.0), (1, 1.0), (1, -0.1)])
-def test_times_that_can_not_be_counted_with_are_refused(span: int, drift: float) -> None:
-    with pytest.raises(ValueError, match="span: must be above 0"):
-        Timing(span, drift)
+@pytest.mark.parametrize(("duration", "drift"), [(0, 0.0), (1, 1.0), (1, -0.1)])
+def test_timing_out_of_range_is_refused(duration: int, drift: float) -> None:
+    with pytest.raises(ValueError, match="duration: must be above 0"):
+        Timing(duration, drift)
