--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,7 +5,7 @@
 import pytest
 
 from scaledeal.fleet.core.members import MS, Members, News, Pace, Ping, State
-from scaledeal.lab.muster import Muster, Weather
+from scaledeal.lab.membership import Muster, Weather
 
 SECOND = 1000 * MS
 COUNT = 30
