--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,80 +1,82 @@
-"""Membership of relays, in simulated time: joins, deaths, stalls, cuts, and what is sent."""
+"""Membership of relays in simulated time: joins, deaths, stalls, partitions, and the number of messages."""
 
 from __future__ import annotations
 
 import pytest
 
-from scaledeal.fleet.core.members import MS, Members, News, Pace, Ping, State
-from scaledeal.lab.membership import Muster, Weather
+from scaledeal.fleet.core.members import NS_PER_MS, Members, Ping, Settings, State, Update
+from scaledeal.lab.membership import MembershipSimulation, NetworkFaults
 
-SECOND = 1000 * MS
+SECOND = 1000 * NS_PER_MS
 COUNT = 30
 
 
-def gathered(seed: int = 1, loss: float = 0.02) -> Muster:
-    muster = Muster(COUNT, seed, Pace(), Weather(loss))
-    assert muster.until(muster.agree, 60 * SECOND) is not None, "not all found each other"
-    return muster
+def converged_fleet(seed: int = 1, loss: float = 0.02) -> MembershipSimulation:
+    fleet = MembershipSimulation(COUNT, seed, Settings(), NetworkFaults(loss))
+    assert fleet.run_until(fleet.converged, 60 * SECOND) is not None, "the relays did not all discover each other"
+    return fleet
 
 
-def test_all_find_each_other_and_nobody_is_blamed_in_a_calm_run_of_bounded_messages() -> None:
-    muster = gathered()
-    muster.sent = 0
-    muster.kernel.run(muster.kernel.now + 60 * SECOND)
-    assert muster.blamed() == set() and muster.agree()
-    assert muster.sent / COUNT / 60 <= 4, f"{muster.sent / COUNT / 60:.1f} messages a second a relay"
+def test_fleet_without_process_faults_converges_with_no_false_death_and_bounded_messages() -> None:
+    fleet = converged_fleet()
+    fleet.sent = 0
+    fleet.kernel.run(fleet.kernel.now + 60 * SECOND)
+    assert fleet.false_deaths() == set() and fleet.converged()
+    assert fleet.sent / COUNT / 60 <= 4, f"{fleet.sent / COUNT / 60:.1f} messages a second a relay"
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_death_is_known_to_all_within_the_bound_and_its_next_process_is_taken_back(seed: int) -> None:
-    muster = gathered(seed)
-    muster.kill("n7")
-    bound = muster.pace.known_within(COUNT)
-    assert muster.until(lambda: muster.held("n7") == {State.DEAD}, bound) is not None, muster.held("n7")
-    muster.start("n7", 99)  # it knows nothing of its earlier incarnation
-    assert muster.until(muster.agree, 60 * SECOND) is not None, muster.held("n7")
-    assert muster.relays["n7"].me.incarnation >= 1, "it came back without outdoing what was told of it"
-
-
-def test_one_that_stalls_is_dead_to_all_and_comes_back_with_a_higher_incarnation() -> None:
-    muster = gathered()
-    muster.sleep("n3", 40 * SECOND)
-    assert muster.until(lambda: muster.held("n3") == {State.DEAD}, 40 * SECOND) is not None
-    muster.kernel.run(muster.kernel.now + 40 * SECOND)
-    assert muster.until(muster.agree, 30 * SECOND) is not None, muster.held("n3")
-    assert muster.relays["n3"].me.incarnation >= 1
-    assert muster.blamed() == set(), "the one that slept blames the others for its own silence"
-
-
-def test_one_whose_way_to_a_single_other_is_cut_is_not_blamed() -> None:
-    # Guards against a death told by one relay alone: others are asked first.
-    muster = gathered(loss=0.0)
-    muster.cut = lambda source, target: {source, target} == {"n1", "n2"}
-    muster.kernel.run(muster.kernel.now + 60 * SECOND)
-    assert muster.blamed() == set()
-    denials = [muster.relays[name].me.incarnation for name in ("n1", "n2")]
-    assert denials == [0, 0], f"suspected by the other, and denied it: {denials}"
-
-
-def test_two_halves_find_each_other_again_after_a_cut() -> None:
-    muster = gathered()
+def test_death_is_known_to_all_within_the_bound_and_a_restarted_relay_rejoins(seed: int) -> None:
+    fleet = converged_fleet(seed)
+    fleet.kill("n7")
+    bound = fleet.settings.detection_bound(COUNT)
+    assert fleet.run_until(lambda: fleet.states_of("n7") == {State.DEAD}, bound) is not None, fleet.states_of("n7")
+    fleet.start("n7", 99)  # it does not know its earlier incarnation
+    assert fleet.run_until(fleet.converged, 60 * SECOND) is not None, fleet.states_of("n7")
+    assert fleet.relays["n7"].local.incarnation >= 1, "it rejoined without raising its incarnation above the dead one"
+
+
+def test_stalled_relay_is_dead_to_all_and_returns_with_a_higher_incarnation() -> None:
+    fleet = converged_fleet()
+    fleet.stall("n3", 40 * SECOND)
+    assert fleet.run_until(lambda: fleet.states_of("n3") == {State.DEAD}, 40 * SECOND) is not None
+    fleet.kernel.run(fleet.kernel.now + 40 * SECOND)
+    assert fleet.run_until(fleet.converged, 30 * SECOND) is not None, fleet.states_of("n3")
+    assert fleet.relays["n3"].local.incarnation >= 1
+    assert fleet.false_deaths() == set(), "the stalled relay declares others dead because of its own stall"
+
+
+def test_relay_cut_off_from_a_single_other_is_not_suspected() -> None:
+    # One relay alone must not declare another dead: it requests indirect probes first.
+    fleet = converged_fleet(loss=0.0)
+    fleet.is_cut = lambda source, target: {source, target} == {"n1", "n2"}
+    fleet.kernel.run(fleet.kernel.now + 60 * SECOND)
+    assert fleet.false_deaths() == set()
+    incarnations = [fleet.relays[name].local.incarnation for name in ("n1", "n2")]
+    assert incarnations == [0, 0], f"suspected by the other, and refuted it: {incarnations}"
+
+
+def test_two_halves_merge_again_after_a_partition() -> None:
+    fleet = converged_fleet()
     half = {f"n{number}" for number in range(COUNT // 2)}
-    muster.cut = lambda source, target: (source in half) != (target in half)
-    muster.kernel.run(muster.kernel.now + 60 * SECOND)
-    assert muster.relays["n0"].alive() == sorted(half), "the other half is dead to this one"
-    muster.cut = lambda source, target: False
-    assert muster.until(muster.agree, 90 * SECOND) is not None
+    fleet.is_cut = lambda source, target: (source in half) != (target in half)
+    fleet.kernel.run(fleet.kernel.now + 60 * SECOND)
+    assert fleet.relays["n0"].alive() == sorted(half), "the other half must be dead to this one"
+    fleet.is_cut = lambda source, target: False
+    assert fleet.run_until(fleet.converged, 90 * SECOND) is not None
 
 
-def test_one_that_leaves_says_so_and_is_not_suspected_first() -> None:
-    muster = gathered()
-    muster.leave("n9")
-    assert muster.until(lambda: muster.held("n9") == {State.LEFT}, 15 * SECOND) is not None, muster.held("n9")
+def test_leaving_relay_announces_it_and_is_not_suspected_first() -> None:
+    fleet = converged_fleet()
+    fleet.leave("n9")
+    assert fleet.run_until(lambda: fleet.states_of("n9") == {State.LEFT}, 15 * SECOND) is not None, fleet.states_of(
+        "n9"
+    )
 
 
-def test_what_is_old_or_as_high_changes_nothing() -> None:
-    member = Members("a", "a:1", {"b": "b:1"}, Pace(), 1)
-    for state, incarnation, held in (
+def test_update_that_does_not_override_is_ignored() -> None:
+    member = Members("a", "a:1", {"b": "b:1"}, Settings(), 1)
+    for state, incarnation, expected in (
         (State.SUSPECT, 2, State.SUSPECT),
         (State.ALIVE, 2, State.SUSPECT),
         (State.ALIVE, 1, State.SUSPECT),
@@ -82,7 +84,7 @@
         (State.DEAD, 3, State.DEAD),
         (State.SUSPECT, 3, State.DEAD),
     ):
-        member.heard(0, Ping(1, "b", (News("b", "b:1", state, incarnation),)))
-        assert member.state("b") is held, (state, incarnation)
-    member.heard(0, Ping(2, "b", (News("a", "a:1", State.SUSPECT, 0),)))
-    assert member.me.incarnation == 1 and member.state("a") is State.ALIVE, "a suspicion of oneself is denied"
+        member.receive(0, Ping(1, "b", (Update("b", "b:1", state, incarnation),)))
+        assert member.state("b") is expected, (state, incarnation)
+    member.receive(0, Ping(2, "b", (Update("a", "a:1", State.SUSPECT, 0),)))
+    assert member.local.incarnation == 1 and member.state("a") is State.ALIVE, "a suspicion of oneself is refuted"
