--- a/scaledeal/cli/checking.py
+++ b/scaledeal/cli/checking.py
@@ -17,7 +17,10 @@
 
 
 def find_faults(file: Path, config: Path | None) -> list[Fault]:
-    """Return all faults of the operators' file; if ``config`` has a fault, return only that one."""
+    """Return all faults of the operators' file or, if it has none, of its key files.
+
+    If ``config`` is given and has a fault, return only that one: the file is checked against its settings.
+    """
     document = None
     if config is not None:
         try:
--- a/scaledeal/cli/sessions.py
+++ b/scaledeal/cli/sessions.py
@@ -58,7 +58,7 @@
 
 @app.command()
 def show(ledger: LedgerPath, session: Annotated[str, typer.Argument(metavar="SESSION")]) -> None:
-    """Show one session; of its state only the size and of its lines only the numbers, as their content is private."""
+    """Show one session; only the size of its state and the numbers of its lines, as the content is the client's."""
     with _open_ledger(ledger) as opened:
         register = opened.get(session)
         if register is None:
