--- a/scaledeal/lab/scenario/rules.py
+++ b/scaledeal/lab/scenario/rules.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from functools import partial
 
-from scaledeal.hcl import Breach, Rule, told
+from scaledeal.hcl import Rule, RuleViolation, check_rules
 from scaledeal.lab.scenario.types import Class, Clients, Model, Network, Scenario, Servers, Trouble
 
 MAX_DURATION_NS = 2 * 86_400_000_000_000
@@ -34,31 +34,31 @@
 }
 
 
-def _seconds(file: Scenario) -> Iterator[Breach]:
+def _seconds(file: Scenario) -> Iterator[RuleViolation]:
     if not 1_000_000_000 <= file.seconds <= MAX_DURATION_NS:
         yield "seconds", "must be between 1s and 48h"
 
 
-def _zones(file: Scenario) -> Iterator[Breach]:
+def _zones(file: Scenario) -> Iterator[RuleViolation]:
     if not file.zones:
         yield "zones", "at least one is needed"
     if len(set(file.zones)) < len(file.zones):
         yield "zones", "a zone is named twice"
 
 
-def _classes(file: Scenario) -> Iterator[Breach]:
+def _classes(file: Scenario) -> Iterator[RuleViolation]:
     if not file.classes:
         yield "class", 'at least one is needed: class "NAME" { ... }'
     yield from _duplicates("class", [cls.name for cls in file.classes])
     for cls in file.classes:
-        yield from told((_class,), cls)
+        yield from check_rules((_class,), cls)
 
 
-def _tenants(file: Scenario) -> Iterator[Breach]:
+def _tenants(file: Scenario) -> Iterator[RuleViolation]:
     yield from _duplicates("tenant", [tenant.name for tenant in file.tenant])
 
 
-def _goal(file: Scenario) -> Iterator[Breach]:
+def _goal(file: Scenario) -> Iterator[RuleViolation]:
     goal = file.goal
     total = goal.whole + goal.worst_window + goal.worst_class + goal.worst_tenant
     if abs(total - 1) > 1e-6:
@@ -67,7 +67,7 @@
         yield "goal.worst_tenant", 'must be 0 without tenants: tenant "NAME" { ... }'
 
 
-def _class(cls: Class) -> Iterator[Breach]:
+def _class(cls: Class) -> Iterator[RuleViolation]:
     place = f'class["{cls.name}"]'
     if cls.aim <= 0 or cls.deadline <= 0:
         yield place, "aim and deadline must be above 0s"
@@ -79,19 +79,19 @@
         yield f"{place}.change", "must be 10ms or longer"
 
 
-def _servers(file: Scenario) -> Iterator[Breach]:
-    yield from told((_models, _server_values), file.servers)
+def _servers(file: Scenario) -> Iterator[RuleViolation]:
+    yield from check_rules((_models, _server_values), file.servers)
 
 
-def _models(servers: Servers) -> Iterator[Breach]:
+def _models(servers: Servers) -> Iterator[RuleViolation]:
     if not servers.model:
         yield "servers.model", 'at least one is needed: model "NAME" { ... }'
     yield from _duplicates("servers.model", [model.name for model in servers.model])
     for model in servers.model:
-        yield from told((_model,), model)
+        yield from check_rules((_model,), model)
 
 
-def _model(model: Model) -> Iterator[Breach]:
+def _model(model: Model) -> Iterator[RuleViolation]:
     place = f'servers.model["{model.name}"]'
     if model.speed.low <= 0:
         yield f"{place}.speed", "must be above 0"
@@ -99,7 +99,7 @@
         yield f"{place}.cold_from", "must be above 0 and at most 1"
 
 
-def _server_values(servers: Servers) -> Iterator[Breach]:
+def _server_values(servers: Servers) -> Iterator[RuleViolation]:
     if servers.per_core.low <= 0:
         yield "servers.per_core", "must be above 0"
     if servers.group_cost and not servers.group_size:
@@ -108,31 +108,31 @@
         yield "servers.report_period", "must be above 0s"
 
 
-def _clients(file: Scenario) -> Iterator[Breach]:
-    yield from told((_client_values,), file.clients)
+def _clients(file: Scenario) -> Iterator[RuleViolation]:
+    yield from check_rules((_client_values,), file.clients)
 
 
-def _client_values(clients: Clients) -> Iterator[Breach]:
+def _client_values(clients: Clients) -> Iterator[RuleViolation]:
     if clients.life.low < 1_000_000:
         yield "clients.life", "must be 1ms or longer"
 
 
-def _network(file: Scenario) -> Iterator[Breach]:
-    yield from told((_network_times,), file.network)
+def _network(file: Scenario) -> Iterator[RuleViolation]:
+    yield from check_rules((_network_times,), file.network)
 
 
-def _network_times(network: Network) -> Iterator[Breach]:
+def _network_times(network: Network) -> Iterator[RuleViolation]:
     for name in ("same", "cross", "client"):
         if getattr(network, name).high > 10_000_000_000:
             yield f"network.{name}", "must not exceed 10s"
 
 
-def _troubles(file: Scenario) -> Iterator[Breach]:
+def _troubles(file: Scenario) -> Iterator[RuleViolation]:
     for number, trouble in enumerate(file.trouble):
-        yield from told((partial(_trouble, file, number),), trouble)
+        yield from check_rules((partial(_trouble, file, number),), trouble)
 
 
-def _trouble(file: Scenario, number: int, trouble: Trouble) -> Iterator[Breach]:
+def _trouble(file: Scenario, number: int, trouble: Trouble) -> Iterator[RuleViolation]:
     place = f'trouble["{trouble.name}"]'
     if trouble.at.high > file.seconds:
         yield f"{place}.at", f"must not be after the end of the day ({file.seconds})"
@@ -154,7 +154,7 @@
         yield f"{place}.size", "must be above 0 and at most 1: the share of the fleet replaced at a time"
 
 
-def _duplicates(place: str, names: list[str]) -> Iterator[Breach]:
+def _duplicates(place: str, names: list[str]) -> Iterator[RuleViolation]:
     for name in sorted({name for name in names if names.count(name) > 1}):
         yield f'{place}["{name}"]', "is defined twice"
     if "" in names:
--- a/scaledeal/lab/scenario/types.py
+++ b/scaledeal/lab/scenario/types.py
@@ -1,6 +1,6 @@
 """The blocks and values of a scenario file.
 
-A ``Span`` (numbers) or ``Times`` (durations) is a range from which each run, or each member of it, draws a value.
+A ``NumberRange`` (numbers) or ``DurationRange`` (durations) is a range from which each run, or each member of it, draws a value.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from scaledeal.hcl import Duration, Span, Times
+from scaledeal.hcl import Duration, DurationRange, NumberRange
 
 MS = 1_000_000
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=80)]
@@ -20,14 +20,14 @@
 NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
-def span(low: float, high: float | None = None) -> Span:
+def span(low: float, high: float | None = None) -> NumberRange:
     """Return a range of numbers; without ``high``, the single value ``low``."""
-    return Span((low, low if high is None else high))
+    return NumberRange((low, low if high is None else high))
 
 
-def durations_ms(low: float, high: float | None = None) -> Times:
+def durations_ms(low: float, high: float | None = None) -> DurationRange:
     """Return a range of durations given in ms; without ``high``, the single value ``low``."""
-    return Times((int(low * MS), int((low if high is None else high) * MS)))
+    return DurationRange((int(low * MS), int((low if high is None else high) * MS)))
 
 
 class Block(msgspec.Struct, frozen=True, kw_only=True):
@@ -40,10 +40,10 @@
     name: str = ""
     share: Positive = 1.0  # weight of the model in the fleet, relative to the sum over all models
     cores: PositiveCount = 3
-    speed: Span = span(1.0)  # of a core, relative to a reference core
+    speed: NumberRange = span(1.0)  # of a core, relative to a reference core
     cap: Count = 0  # maximum number of connections; 0: unlimited
-    cold_from: Span = span(0.4)  # share of its capacity at the start of the process
-    cold: Times = durations_ms(6000)  # warm-up time, over which capacity grows linearly
+    cold_from: NumberRange = span(0.4)  # share of its capacity at the start of the process
+    cold: DurationRange = durations_ms(6000)  # warm-up time, over which capacity grows linearly
 
 
 class Servers(Block, frozen=True):
@@ -53,20 +53,20 @@
     model: tuple[Model, ...] = (Model(name="plain"),)
     # Weight in the discovery list: none 1; nominal cores * speed; rough cores; live cores / (1 + connections per core).
     weights: Literal["none", "nominal", "rough", "live"] = "rough"
-    per_core: Span = span(15)  # connections of mean load that saturate a reference core
-    setup: Times = durations_ms(8)  # work of a set-up, in time of a reference core
-    handshakes: Span = span(1, 2)  # round trips before a new connection can carry a line
+    per_core: NumberRange = span(15)  # connections of mean load that saturate a reference core
+    setup: DurationRange = durations_ms(8)  # work of a set-up, in time of a reference core
+    handshakes: NumberRange = span(1, 2)  # round trips before a new connection can carry a line
     group_cost: NonNegative = 0.0  # extra load for each group with a connection on the server, in mean connection loads
     group_size: NonNegative = 0.0  # mean number of connections of a group across the fleet; 0: no groups
     group_skew: NonNegative = 1.0  # exponent of the Zipf distribution of group sizes
     goaway: bool = True  # whether a draining server sends its clients away at once
-    leaves: Times = durations_ms(2500, 4000)  # time from the start of a drain until the process exits
-    queue: Times = durations_ms(400)  # maximum queued set-up work; new connections beyond it are refused
-    buffer: Times = durations_ms(1500)  # backlog of message work beyond which connections are dropped
+    leaves: DurationRange = durations_ms(2500, 4000)  # time from the start of a drain until the process exits
+    queue: DurationRange = durations_ms(400)  # maximum queued set-up work; new connections beyond it are refused
+    buffer: DurationRange = durations_ms(1500)  # backlog of message work beyond which connections are dropped
     sheds: Literal["heaviest", "newest"] = "heaviest"  # which connection is dropped first
-    probe: Times = durations_ms(0.27)  # work of a probe, in time of a reference core
-    report_period: Times = durations_ms(540, 1400)  # refresh interval of load reports
-    report_delay: Times = durations_ms(100, 470)  # minimum age of the values in a refreshed report
+    probe: DurationRange = durations_ms(0.27)  # work of a probe, in time of a reference core
+    report_period: DurationRange = durations_ms(540, 1400)  # refresh interval of load reports
+    report_delay: DurationRange = durations_ms(100, 470)  # minimum age of the values in a refreshed report
     report_noise: NonNegative = 0.03  # relative standard deviation
     tells_load: bool = True  # whether the server reports the load of each connection
     message: Positive = 0.08  # response time of an idle server, relative to the class's ``message``
@@ -91,11 +91,11 @@
     deadline: Duration = Duration(2000 * MS)  # time after which a client abandons a request
     worth: NonNegative = 1.0  # value of one second of a well-served connection
     message: Duration = Duration(150 * MS)  # target response time of a message
-    load: Span = span(1.0)  # load of a connection, relative to the mean
-    life: Span = span(1.0)  # lifetime of a connection, relative to ``clients.life``
+    load: NumberRange = span(1.0)  # load of a connection, relative to the mean
+    life: NumberRange = span(1.0)  # lifetime of a connection, relative to ``clients.life``
     spread: NonNegative = 1.0  # sigma of the lognormal distribution of loads
     swing: NonNegative = 0.5  # sigma of the random changes of a connection's load
-    change: Times = durations_ms(6000, 18_000)  # interval between load changes of a connection
+    change: DurationRange = durations_ms(6000, 18_000)  # interval between load changes of a connection
 
 
 class Tenant(Block, frozen=True):
@@ -110,16 +110,16 @@
     """Arrival and behaviour of clients."""
 
     load: Positive = 0.4  # average demand, relative to the fleet's capacity
-    life: Times = durations_ms(30_000)  # mean time for which a client wants a connection
+    life: DurationRange = durations_ms(30_000)  # mean time for which a client wants a connection
     law: Literal["exponential", "lognormal", "fixed"] = "exponential"
     shape: Literal["steady", "wave", "bursty"] = "steady"
     swing: Share = 0.3  # relative amplitude of a wave or burst
     zone_skew: Share = 0.2  # relative spread of the zones' shares of clients
     standing: bool = True  # whether the day starts with the steady-state number of connections
     retries: Count = 2  # of a client that was never connected; one that was connected retries until its time is over
-    backoff: Times = durations_ms(60)  # before the first retry; doubles with each further one
+    backoff: DurationRange = durations_ms(60)  # before the first retry; doubles with each further one
     backoff_most: Duration = Duration(2000 * MS)  # maximum back-off
-    rejoin: Times = durations_ms(91, 910)  # from a move or a broken connection until the client reconnects
+    rejoin: DurationRange = durations_ms(91, 910)  # from a move or a broken connection until the client reconnects
     honour: Share = 0.65  # share of clients that wait for the time given by BUSY
     impatient: Share = 0.0  # share of requests that clients abandon before the deadline
     over_worth: Share = 0.1  # relative worth of a tenant's demand beyond its quota
@@ -130,8 +130,8 @@
     """The relays, and the front's view of them."""
 
     count: PositiveCount = 3
-    notice: Times = durations_ms(800, 4000)  # time until the front detects a dead relay
-    start: Times = durations_ms(800)  # time from a relay's start until it serves
+    notice: DurationRange = durations_ms(800, 4000)  # time until the front detects a dead relay
+    start: DurationRange = durations_ms(800)  # time from a relay's start until it serves
     event: NonNegative = 60.0  # core time per event that a relay handles, in microseconds
     cores: Positive = 0.8  # available to a relay
     sockets: PositiveCount = 1024  # descriptor limit of a relay (host relay only)
@@ -142,10 +142,10 @@
 
     # asked: one service that handles calls in turn; pushed: an agent on each relay's machine.
     mode: Literal["asked", "pushed"] = "asked"
-    notice: Times = durations_ms(540, 4900)  # delay until it learns that a process drains or has exited
-    silent: Times = durations_ms(4000, 12_000)  # the same for a machine that vanished
-    add: Times = durations_ms(720, 2400)  # delay until it learns of a new process
-    period: Times = durations_ms(190, 1300)  # interval of its rounds: a change is published at the next round
+    notice: DurationRange = durations_ms(540, 4900)  # delay until it learns that a process drains or has exited
+    silent: DurationRange = durations_ms(4000, 12_000)  # the same for a machine that vanished
+    add: DurationRange = durations_ms(720, 2400)  # delay until it learns of a new process
+    period: DurationRange = durations_ms(190, 1300)  # interval of its rounds: a change is published at the next round
     line: Duration = Duration(MS // 50)  # service time per list line sent
     call: Duration = Duration(MS)  # service time per call
     patience: Duration = Duration(3000 * MS)  # after which a queued call fails
@@ -155,15 +155,15 @@
     """The session store, called once per set-up."""
 
     headroom: Positive = 20.0  # call capacity, relative to the usual rate of set-ups
-    time: Times = durations_ms(2)  # of one call
+    time: DurationRange = durations_ms(2)  # of one call
 
 
 class Network(Block, frozen=True):
     """One-way network delays, and connection time-outs."""
 
-    same: Times = durations_ms(0.2)  # within a zone
-    cross: Times = durations_ms(2.8, 5.2)  # between zones
-    client: Times = durations_ms(0.3, 1.1)  # between a client and a relay
+    same: DurationRange = durations_ms(0.2)  # within a zone
+    cross: DurationRange = durations_ms(2.8, 5.2)  # between zones
+    client: DurationRange = durations_ms(0.3, 1.1)  # between a client and a relay
     jitter: NonNegative = 0.2  # relative, per message
     segment: PositiveCount = 1448  # payload bytes per segment (host relay only)
     dial: Duration = Duration(250 * MS)  # time-out of connecting
@@ -231,11 +231,11 @@
     """A fault that begins at a given time and lasts for a while."""
 
     name: Kind
-    at: Times  # start, from the beginning of the day
-    lasts: Times = durations_ms(0)
-    part: Span = span(1.0)  # share of the servers, relays or connections that it affects
+    at: DurationRange  # start, from the beginning of the day
+    lasts: DurationRange = durations_ms(0)
+    part: NumberRange = span(1.0)  # share of the servers, relays or connections that it affects
     size: NonNegative = 0.0  # severity, in a unit that depends on the kind: see the page on scenarios
-    period: Times = durations_ms(2300)  # interval of recurring events
+    period: DurationRange = durations_ms(2300)  # interval of recurring events
     zone: Count | None = None  # affected zone, by index; none: drawn for zone_lost and zone_cut, else all zones
     one_way: bool = False  # zone_cut: only traffic towards the zone is lost
 
