--- a/scaledeal/lab/scenario/types.py
+++ b/scaledeal/lab/scenario/types.py
@@ -1,6 +1,7 @@
 """The blocks and values of a scenario file.
 
-A ``NumberRange`` (numbers) or ``DurationRange`` (durations) is a range from which each run, or each member of it, draws a value.
+A ``NumberRange`` (numbers) or ``DurationRange`` (durations) is a range from which each run, or each member of it,
+draws a value.
 """
 
 from __future__ import annotations
