--- a/scaledeal/cli/lab.py
+++ b/scaledeal/cli/lab.py
@@ -69,18 +69,26 @@
 
 def _follow(ledger: object, wanted: str) -> None:
     from scaledeal.lab.account.ledger import Ledger
-    from scaledeal.lab.account.tables import story
+    from scaledeal.lab.account.tables import format_history
 
     assert isinstance(ledger, Ledger)
-    by_key = ledger.journeys.by_key
+    by_key = ledger.histories.by_key
     key = (
         wanted
         if wanted in by_key
-        else next((visit.key for visits in by_key.values() for visit in visits if visit.id == wanted), "")
+        else next(
+            (
+                request.key
+                for requests in by_key.values()
+                for request in requests
+                if request.client_request_id == wanted
+            ),
+            "",
+        )
     )
     if not key:
         raise _refuse(f"{wanted}: no relay names this id or key")
-    typer.echo(f"key {key}\n{story(by_key[key], ledger.start)}")
+    typer.echo(f"key {key}\n{format_history(by_key[key], ledger.start)}")
 
 
 def _draw(ledger: object, path: Path) -> None:
--- a/scaledeal/lab/account/__init__.py
+++ b/scaledeal/lab/account/__init__.py
@@ -1,7 +1,7 @@
-"""What a fleet lost, and why: an account over all relays from the lines that each wrote of its own decisions.
+"""Accounts for what a fleet lost and why, from the trace lines that each relay wrote of its own decisions.
 
-``reading`` decodes the files, ``journeys`` puts together what one client met at every relay that it came to,
-``ledger`` books the seconds that it went without service to causes, ``tables`` and ``plot`` show them. Nothing here
-knows who played the day: it reads what ``PROXY_TRACE`` writes and nothing else. Imports go to ``scaledeal.net.trace``,
-for the form of the lines, and to nothing else of the relay.
+``reading`` decodes the files, ``client_histories`` joins the requests of one client across all relays, ``ledger``
+attributes the seconds that a client went without service to causes, ``tables`` and ``plot`` present the result.
+The package knows nothing of the host or scenario that produced the traces: it reads only what ``PROXY_TRACE`` writes.
+Of the relay it imports only ``scaledeal.net.trace``, for the format of the lines.
 """
--- a/scaledeal/lab/account/plot.py
+++ b/scaledeal/lab/account/plot.py
@@ -1,4 +1,4 @@
-"""Draws an account by second: what was lost to which cause, and what clients and relays did meanwhile."""
+"""Plots an account by second: losses by cause, events of clients and relays, and load."""
 
 from __future__ import annotations
 
@@ -8,31 +8,35 @@
 
 from scaledeal.lab.account.ledger import Ledger
 
-SHOWN = 8  # causes with a colour of their own
+MAX_PLOTTED_CAUSES = 8  # the largest have a colour each; the others share one
 
 
 def draw(ledger: Ledger, path: Path) -> None:
-    """Write the picture, PNG or SVG by its ending; raise OSError or ValueError where that can't be done."""
+    """Write the plot as PNG or SVG, by the suffix of ``path``; raise OSError or ValueError if that fails."""
     start = int(ledger.start)
     seconds = sorted(ledger.seconds)
-    at = [second - start for second in seconds]
+    times = [second - start for second in seconds]
     figure = Figure(figsize=(11, 8), layout="constrained")
-    lost, doing, state = figure.subplots(3, 1, sharex=True)
-    causes = list(ledger.lost())
-    rows = [[ledger.seconds[s].lost[cause] for s in seconds] for cause in causes[:SHOWN]]
-    rest = [sum(ledger.seconds[s].lost[cause] for cause in causes[SHOWN:]) for s in seconds]
-    lost.stackplot(at, *rows, rest, labels=[*causes[:SHOWN], "all other"])
-    lost.set_ylabel("worth lost a second")
-    lost.legend(fontsize="x-small", loc="upper left")
+    loss_axes, event_axes, load_axes = figure.subplots(3, 1, sharex=True)
+    causes = list(ledger.lost_by_cause())
+    rows = [[ledger.seconds[s].lost[cause] for s in seconds] for cause in causes[:MAX_PLOTTED_CAUSES]]
+    rest = [sum(ledger.seconds[s].lost[cause] for cause in causes[MAX_PLOTTED_CAUSES:]) for s in seconds]
+    loss_axes.stackplot(times, *rows, rest, labels=[*causes[:MAX_PLOTTED_CAUSES], "all other"])
+    loss_axes.set_ylabel("worth lost per second")
+    loss_axes.legend(fontsize="x-small", loc="upper left")
     for name in ("new", "again", "refused", "moved", "broken", "attempts"):
-        doing.plot(at, [getattr(ledger.seconds[s], name) for s in seconds], label=name)
-    doing.set_ylabel("a second")
-    doing.legend(fontsize="x-small", loc="upper left")
-    state.plot(at, [_mean(ledger.seconds[s].rungs) for s in seconds], label="mean rung")
-    state.plot(at, [_mean(ledger.seconds[s].asked) for s in seconds], label="mean asked of warm servers")
-    state.plot(at, [_mean(ledger.seconds[s].cold) for s in seconds], label="mean asked of cold servers")
-    state.legend(fontsize="x-small", loc="upper left")
-    state.set_xlabel("seconds")
+        event_axes.plot(times, [getattr(ledger.seconds[s], name) for s in seconds], label=name)
+    event_axes.set_ylabel("per second")
+    event_axes.legend(fontsize="x-small", loc="upper left")
+    load_axes.plot(times, [_mean(ledger.seconds[s].rungs) for s in seconds], label="mean rung")
+    load_axes.plot(
+        times, [_mean(ledger.seconds[s].asked) for s in seconds], label="mean load asked / capacity, warm servers"
+    )
+    load_axes.plot(
+        times, [_mean(ledger.seconds[s].cold) for s in seconds], label="mean load asked / capacity, cold servers"
+    )
+    load_axes.legend(fontsize="x-small", loc="upper left")
+    load_axes.set_xlabel("seconds")
     figure.savefig(path)
 
 
--- a/scaledeal/lab/account/reading.py
+++ b/scaledeal/lab/account/reading.py
@@ -1,4 +1,4 @@
-"""Finds and decodes the lines of a trace, in whatever log they stand."""
+"""Finds and decodes trace lines, in trace files and among the lines of other logs."""
 
 from __future__ import annotations
 
@@ -9,56 +9,55 @@
 
 from scaledeal.net.trace import Line
 
-MARK = b"TRACE {"
+TRACE_MARK = b"TRACE {"
 
 
 class UnreadableError(Exception):
-    """A folder that no account can be made of; the text says why."""
+    """The folder holds no trace lines; the message says why."""
 
 
 class Trace(msgspec.Struct):
-    """The lines of all relays in the order of their clocks, and how many could not be read."""
+    """The lines of all relays in the order of their time stamps, and the number that could not be decoded."""
 
     lines: list[Line]
     spoilt: int
     files: int
 
 
-def lines_of(data: bytes) -> Iterator[bytes]:
-    """Yield the JSON texts of one file: bare, or behind the mark in a log with whatever stands before it."""
+def find_lines(data: bytes) -> Iterator[bytes]:
+    """Yield the JSON text of each trace line of a file: a whole line, or what follows ``TRACE`` in a line of a log."""
     for line in data.splitlines():
         if line.startswith(b"{"):
             yield line
-        elif (at := line.find(MARK)) >= 0:
-            yield line[at + len(MARK) - 1 :]
+        elif (at := line.find(TRACE_MARK)) >= 0:
+            yield line[at + len(TRACE_MARK) - 1 :]
 
 
 def decode(files: Iterable[bytes]) -> Trace:
-    """Decode whole files; a line cut short, as a killed relay leaves one, is counted and passed over."""
+    """Decode whole files; skip and count lines that can't be decoded, such as a truncated one of a killed relay."""
     decoder = msgspec.json.Decoder(Line)
-    found: list[Line] = []
-    spoilt = count = 0
+    lines: list[Line] = []
+    spoilt = file_count = 0
     for data in files:
-        count += 1
-        for text in lines_of(data):
+        file_count += 1
+        for text in find_lines(data):
             try:
-                found.append(decoder.decode(text))
+                lines.append(decoder.decode(text))
             except msgspec.MsgspecError:
                 spoilt += 1
-    # Stable: lines of one relay at one instant stay in the order in which it wrote them.
-    found.sort(key=lambda line: line.at)
-    return Trace(found, spoilt, count)
+    # The sort is stable: lines of one relay with the same time stamp keep the order in which they were written.
+    lines.sort(key=lambda line: line.at)
+    return Trace(lines, spoilt, file_count)
 
 
 def read(folder: Path) -> Trace:
-    """Read every file of a folder, or one file; raise UnreadableError where there is no line of a trace."""
+    """Read one file, or all files below a folder; raise UnreadableError if there is no trace line."""
     if not folder.exists():
-        raise UnreadableError(f"{folder}: there is no such file or folder")
-    paths = sorted(p for p in folder.rglob("*") if p.is_file()) if folder.is_dir() else [folder]
+        raise UnreadableError(f"{folder}: no such file or folder")
+    paths = sorted(path for path in folder.rglob("*") if path.is_file()) if folder.is_dir() else [folder]
     trace = decode(path.read_bytes() for path in paths)
     if not trace.lines:
         raise UnreadableError(
-            f"{folder}: no line of a trace in {trace.files} files; relays write one where they are "
-            "started with PROXY_TRACE=-"
+            f"{folder}: no trace lines in {trace.files} files; a relay writes them if it is started with PROXY_TRACE=-"
         )
     return trace
--- a/scaledeal/lab/account/tables.py
+++ b/scaledeal/lab/account/tables.py
@@ -1,4 +1,4 @@
-"""Shows an account as text, and as one JSON object."""
+"""Formats an account as text and as one JSON object."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from statistics import mean, median
 from typing import Any
 
-from scaledeal.lab.account.journeys import Attempt, Visit
-from scaledeal.lab.account.ledger import UNKNOWN, Ledger, ranked
+from scaledeal.lab.account.client_histories import Attempt, RequestHistory
+from scaledeal.lab.account.ledger import UNATTRIBUTED, Ledger, ranked
 from scaledeal.lab.account.reading import Trace
 
-SECONDS = (
+SECOND_COLUMNS = (
     "s",
     "new",
     "again",
@@ -24,20 +24,22 @@
     "asked",
     "over 1",
     "cold",
-    "lost most to",
+    "largest loss",
 )
-ROWS = 24  # causes, relays or servers that a table shows
+MAX_ROWS = 24  # of a table of causes or servers
 
 
-def table(head: tuple[str, ...], rows: Iterable[tuple[object, ...]]) -> list[str]:
-    """Lay out rows under a head, numbers to the right."""
-    cells = [[_cell(each) for each in row] for row in rows]
-    width = [max(len(row[i]) for row in [list(head), *cells]) for i in range(len(head))]
-    numbers = [all(_is_number(row[i]) for row in cells if row[i]) for i in range(len(head))]
-    layout = list(zip(width, numbers, strict=True))
+def table(header: tuple[str, ...], rows: Iterable[tuple[object, ...]]) -> list[str]:
+    """Return the lines of a table; columns of numbers are aligned to the right."""
+    cells = [[_cell(value) for value in row] for row in rows]
+    widths = [max(len(row[i]) for row in [list(header), *cells]) for i in range(len(header))]
+    numeric = [all(_is_number(row[i]) for row in cells if row[i]) for i in range(len(header))]
+    layout = list(zip(widths, numeric, strict=True))
     return [
-        "  ".join(c.rjust(w) if right else c.ljust(w) for c, (w, right) in zip(row, layout, strict=True)).rstrip()
-        for row in [list(head), *cells]
+        "  ".join(
+            cell.rjust(width) if right else cell.ljust(width) for cell, (width, right) in zip(row, layout, strict=True)
+        ).rstrip()
+        for row in [list(header), *cells]
     ]
 
 
@@ -50,48 +52,51 @@
 
 
 def as_object(ledger: Ledger, trace: Trace) -> dict[str, Any]:
-    """Return everything as one object for JSON."""
-    often, servers = ledger.storm()
-    lost, asked = ledger.lost(), ledger.asked_for()
-    p = ledger.prices
-    firsts = max(1, p.firsts)
+    """Return the whole account as one object for JSON."""
+    request_counts, servers = ledger.count_returns()
+    lost, wanted_worth_s = ledger.lost_by_cause(), ledger.wanted_worth_s()
+    prices = ledger.prices
+    firsts = max(1, prices.firsts)
     return {
         "files": trace.files,
         "lines": len(trace.lines),
         "spoilt": trace.spoilt,
         "relays": ledger.relays,
         "span_s": round(ledger.end - ledger.start, 3),
-        "worth_asked_s": round(asked, 1),
-        "lost_share": round(sum(lost.values()) / asked, 4) if asked else 0.0,
-        "unattributed_share": round(lost.get(UNKNOWN, 0.0) / (sum(lost.values()) or 1.0), 4),
+        "worth_asked_s": round(wanted_worth_s, 1),
+        "lost_share": round(sum(lost.values()) / wanted_worth_s, 4) if wanted_worth_s else 0.0,
+        "unattributed_share": round(lost.get(UNATTRIBUTED, 0.0) / (sum(lost.values()) or 1.0), 4),
         "lost": {cause: round(amount, 1) for cause, amount in lost.items()},
-        "by_class": {name: {c: round(a, 1) for c, a in row.items()} for name, row in ledger.by_class().items()},
-        "by_relay": {name: round(amount, 1) for name, amount in ledger.by_relay().items()},
+        "by_class": {
+            name: {cause: round(amount, 1) for cause, amount in row.items()}
+            for name, row in ledger.lost_by_class().items()
+        },
+        "by_relay": {name: round(amount, 1) for name, amount in ledger.lost_by_relay().items()},
         "prices": {
-            "firsts": p.firsts,
-            "again": p.again,
-            "attempts": p.attempts,
-            "wasted": p.wasted,
-            "far": p.far,
-            "moves": dict(p.moves),
-            "probes": p.probes,
-            "calls": p.calls,
+            "firsts": prices.firsts,
+            "again": prices.again,
+            "attempts": prices.attempts,
+            "wasted": prices.wasted,
+            "far": prices.far,
+            "moves": dict(prices.moves),
+            "probes": prices.probes,
+            "calls": prices.calls,
             "per_first": {
-                "far": round(p.far / firsts, 3),
-                "moves": round(sum(p.moves.values()) / firsts, 3),
-                "probes": round(p.probes / firsts, 2),
-                "attempts": round(p.attempts / firsts, 2),
-                "again": round(p.again / firsts, 2),
+                "far": round(prices.far / firsts, 3),
+                "moves": round(sum(prices.moves.values()) / firsts, 3),
+                "probes": round(prices.probes / firsts, 2),
+                "attempts": round(prices.attempts / firsts, 2),
+                "again": round(prices.again / firsts, 2),
             },
         },
-        "returns": dict(ledger.returns.most_common()),
-        "came_times": {str(times): count for times, count in sorted(often.items())},
-        "sent_to_again": dict(servers.most_common(ROWS)),
-        "seconds": [_second(ledger, second) for second in sorted(ledger.seconds)],
+        "returns": dict(ledger.return_causes.most_common()),
+        "came_times": {str(times): count for times, count in sorted(request_counts.items())},
+        "sent_to_again": dict(servers.most_common(MAX_ROWS)),
+        "seconds": [_second_object(ledger, second) for second in sorted(ledger.seconds)],
     }
 
 
-def _second(ledger: Ledger, second: int) -> dict[str, Any]:
+def _second_object(ledger: Ledger, second: int) -> dict[str, Any]:
     row = ledger.seconds[second]
     return {
         "s": second - int(ledger.start),
@@ -112,38 +117,46 @@
 
 
 def as_text(ledger: Ledger, trace: Trace) -> str:
-    """Return the account for people: what was lost to what, then the storm, the prices and the seconds."""
-    told = as_object(ledger, trace)
-    total = sum(ledger.lost().values()) or 1.0
-    asked = told["worth_asked_s"] or 1.0
-    out = [
-        f"{told['relays']} relays, {told['lines']} lines of {told['files']} files, "
-        f"{told['spoilt']} could not be read, {told['span_s']:.1f} s",
-        f"worth asked for {asked:.0f}, lost {told['lost_share']:.1%} of it, "
-        f"of that {told['unattributed_share']:.1%} {UNKNOWN}",
+    """Return the account as text: losses by cause and class, returning clients, prices, and a row for each second."""
+    account = as_object(ledger, trace)
+    total = sum(ledger.lost_by_cause().values()) or 1.0
+    wanted_worth_s = account["worth_asked_s"] or 1.0
+    lines = [
+        f"{account['relays']} relays, {account['lines']} lines of {account['files']} files, "
+        f"{account['spoilt']} could not be decoded, {account['span_s']:.1f} s",
+        f"worth-seconds wanted {wanted_worth_s:.0f}, lost {account['lost_share']:.1%} of it, "
+        f"of that {account['unattributed_share']:.1%} {UNATTRIBUTED}",
         "",
     ]
-    out += table(
-        ("cause", "worth x s", "of lost", "of asked"),
-        [(c, a, f"{a / total:.1%}", f"{a / asked:.1%}") for c, a in list(ledger.lost().items())[:ROWS]],
+    lines += table(
+        ("cause", "worth x s", "of lost", "of wanted"),
+        [
+            (cause, amount, f"{amount / total:.1%}", f"{amount / wanted_worth_s:.1%}")
+            for cause, amount in list(ledger.lost_by_cause().items())[:MAX_ROWS]
+        ],
     )
-    for name, row in told["by_class"].items():
-        out += ["", f"class {name}: seconds"]
-        out += table(("cause", "s"), [(cause, amount) for cause, amount in list(row.items())[:6]])
-    out += ["", "why clients came again"]
-    out += table(("cause", "times"), list(told["returns"].items())[:ROWS])
-    out += ["", f"clients by number of visits: {told['came_times']}", "", "prices: counted, and for each first visit"]
-    prices = told["prices"]
+    for name, row in account["by_class"].items():
+        lines += ["", f"class {name}: seconds"]
+        lines += table(("cause", "s"), [(cause, amount) for cause, amount in list(row.items())[:6]])
+    lines += ["", "why clients came again"]
+    lines += table(("cause", "times"), list(account["returns"].items())[:MAX_ROWS])
+    lines += [
+        "",
+        f"clients by number of requests: {account['came_times']}",
+        "",
+        "prices: totals, and per first request",
+    ]
+    prices = account["prices"]
     counted = ("firsts", "again", "attempts", "wasted", "far", "probes", "calls")
-    out += table(("what", "number"), [(what, prices[what]) for what in counted])
-    out += [f"moves by rule: {prices['moves']}", f"for each first visit: {prices['per_first']}", "", "by second"]
-    out += table(SECONDS, [_text_second(row) for row in told["seconds"]])
-    return "\n".join(out)
+    lines += table(("what", "number"), [(name, prices[name]) for name in counted])
+    lines += [f"moves by rule: {prices['moves']}", f"per first request: {prices['per_first']}", "", "by second"]
+    lines += table(SECOND_COLUMNS, [_second_cells(row) for row in account["seconds"]])
+    return "\n".join(lines)
 
 
-def _text_second(row: dict[str, Any]) -> tuple[object, ...]:
-    most = next((f"{cause} {amount:.0f}" for cause, amount in row["lost"].items()), "")
-    seen = ["" if row[name] is None else row[name] for name in ("asked", "over", "cold")]
+def _second_cells(row: dict[str, Any]) -> tuple[object, ...]:
+    largest_loss = next((f"{cause} {amount:.0f}" for cause, amount in row["lost"].items()), "")
+    load_cells = ["" if row[name] is None else row[name] for name in ("asked", "over", "cold")]
     return (
         row["s"],
         row["new"],
@@ -155,37 +168,42 @@
         row["wasted"],
         row["probes"],
         row["rung"],
-        *seen,
-        most,
+        *load_cells,
+        largest_loss,
     )
 
 
-def story(visits: list[Visit], start: float) -> str:
-    """Return what one client met, at every relay that it came to."""
-    out = []
-    for visit in visits:
-        stood = f" stood at {visit.server}" if visit.up == visit.began else ""
-        out.append(
-            f"{visit.began - start:8.3f}  {visit.relay}  id {visit.id} class {visit.cls}"
-            + (" again" if visit.again else "")
-            + stood
+def format_history(requests: list[RequestHistory], start: float) -> str:
+    """Return the history of one client over all relays as text; times are seconds since ``start``."""
+    lines = []
+    for request in requests:
+        connected = f" connected at {request.server}" if request.connected_at == request.began else ""
+        lines.append(
+            f"{request.began - start:8.3f}  {request.relay}  id {request.client_request_id} class {request.cls}"
+            + (" again" if request.returning else "")
+            + connected
         )
-        out += [f"{attempt.began - start:8.3f}    {_attempt(attempt)}" for attempt in visit.attempts]
-        for late in visit.late:
-            out.append(f"{late.sent - start:8.3f}    message late: {late.ms:.0f} ms")
-        if visit.ended:
-            out.append(
-                f"{visit.ended - start:8.3f}    {visit.end.value}"
-                + (f": {visit.why}" if visit.why else "")
-                + (f", rung {visit.rung}" if visit.rung else "")
+        lines += [f"{attempt.began - start:8.3f}    {_format_attempt(attempt)}" for attempt in request.attempts]
+        for message in request.late_messages:
+            lines.append(f"{message.sent - start:8.3f}    message late: {message.delay_ms:.0f} ms")
+        if request.ended:
+            lines.append(
+                f"{request.ended - start:8.3f}    {request.end.value}"
+                + (f": {request.reason}" if request.reason else "")
+                + (f", rung {request.rung}" if request.rung else "")
             )
-    return "\n".join(out)
+    return "\n".join(lines)
 
 
-def _attempt(attempt: Attempt) -> str:
-    told = "nothing known" if attempt.asked < 0 else f"asked {attempt.asked:.2f}, told {attempt.told_ms:.0f} ms ago"
-    marks = "".join(f", {word}" for word, on in (("cold", attempt.cold), ("far", attempt.far)) if on)
-    took = ((attempt.ended or attempt.began) - attempt.began) * 1000
+def _format_attempt(attempt: Attempt) -> str:
+    report = (
+        "no report"
+        if attempt.load_ratio < 0
+        else f"asked {attempt.load_ratio:.2f} of capacity, reported {attempt.report_age_ms:.0f} ms ago"
+    )
+    flags = "".join(f", {name}" for name, is_set in (("cold", attempt.cold), ("far", attempt.far)) if is_set)
+    took_ms = ((attempt.ended or attempt.began) - attempt.began) * 1000
     return (
-        f"to {attempt.server} ({told}{marks}), rung {attempt.rung}: {attempt.result or 'still out'} after {took:.0f} ms"
+        f"to {attempt.server} ({report}{flags}), rung {attempt.rung}: "
+        f"{attempt.result or 'still out'} after {took_ms:.0f} ms"
     )
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -10,8 +10,8 @@
 
 from scaledeal.cli.main import app
 from scaledeal.lab.account import reading, tables
-from scaledeal.lab.account.journeys import End, Journeys
-from scaledeal.lab.account.ledger import MESSAGES, UNKNOWN, Ledger, spread
+from scaledeal.lab.account.client_histories import ClientHistories, End
+from scaledeal.lab.account.ledger import MESSAGE_INTERVAL_S, UNATTRIBUTED, Ledger, split_by_second
 from scaledeal.net.trace import Line, Trace
 
 T = 1_796_000_000.0
@@ -31,7 +31,10 @@
 
 
 def lost(*lines: Line) -> dict[str, float]:
-    return {cause: round(amount, 3) for cause, amount in Ledger(sorted(lines, key=lambda each: each.at)).lost().items()}
+    return {
+        cause: round(amount, 3)
+        for cause, amount in Ledger(sorted(lines, key=lambda each: each.at)).lost_by_cause().items()
+    }
 
 
 def test_time_between_a_refusal_and_the_return_at_another_relay_is_booked_to_its_rule():
@@ -75,7 +78,7 @@
 def test_late_messages_never_count_a_moment_twice():
     times = [line(2.0 + n * 0.5, "late", server="s", ms=300.0) for n in range(9)]
     told = lost(*starts("n0"), ask(0.0, server="s"), *times, line(20.0, "gone"))
-    whole = (times[-1].at - 0.3 + MESSAGES) - (times[0].at - 0.3)
+    whole = (times[-1].at - 0.3 + MESSAGE_INTERVAL_S) - (times[0].at - 0.3)
     assert told == {"late messages, server not reported": pytest.approx(2 * whole, abs=0.01)}, told
 
 
@@ -94,11 +97,11 @@
 
 
 def test_a_relay_that_falls_silent_is_gone_though_it_never_starts_again():
-    journeys = Journeys()
+    histories = ClientHistories()
     for each in [*starts("n0", "n1"), ask(0.0, server="s"), line(9.0, "list", "n1", "")]:
-        journeys.take(each)
-    journeys.close()
-    assert journeys.by_key["k"][0].end is End.RELAY_GONE
+        histories.add(each)
+    histories.close()
+    assert histories.by_key["k"][0].end is End.RELAY_GONE
 
 
 def test_a_client_that_never_comes_again_is_booked_for_a_bounded_time():
@@ -116,7 +119,7 @@
         line(4.0, "refuse", "n1", why="x"),
         line(4.5, "list", request=""),
     )
-    assert told[UNKNOWN] == 6.0, told  # from its last line at 1 s until it came again at 4 s
+    assert told[UNATTRIBUTED] == 6.0, told  # from its last line at 1 s until it came again at 4 s
     assert told["refused: x, never came again"] == 1.0, told
 
 
@@ -138,7 +141,7 @@
     ledger = Ledger(lines)
     p = ledger.prices
     assert (p.firsts, p.again, p.attempts, p.wasted, p.far, p.probes, p.calls) == (1, 1, 3, 1, 1, 1, 1)
-    assert dict(ledger.returns) == {"moved: asked too much": 1} and ledger.storm()[0] == {2: 1}
+    assert dict(ledger.return_causes) == {"moved: asked too much": 1} and ledger.count_returns()[0] == {2: 1}
 
 
 def test_the_same_lines_in_any_file_order_give_the_same_account():
@@ -154,7 +157,7 @@
         for relay in ("n0", "n1")
     ]
     first, second = (reading.decode(order) for order in (files, files[::-1]))
-    assert Ledger(first.lines).lost() == Ledger(second.lines).lost() != {}
+    assert Ledger(first.lines).lost_by_cause() == Ledger(second.lines).lost_by_cause() != {}
 
 
 @given(st.binary(max_size=200), st.integers(0, 80))
@@ -167,7 +170,7 @@
 
 @given(st.floats(0, 100), st.floats(0, 20))
 def test_spreading_over_seconds_loses_nothing(began: float, length: float):
-    parts = list(spread(began, began + length))
+    parts = list(split_by_second(began, began + length))
     assert sum(part for _, part in parts) == pytest.approx(length, abs=1e-6)
     assert all(0 <= part <= 1 + 1e-9 for _, part in parts)
 
@@ -191,7 +194,10 @@
     assert text.exit_code == 0 and "refused: x" in text.output, text.output
     told = msgspec.json.decode(run.invoke(app, ["lab", "account", "--json", str(tmp_path)]).stdout)
     assert told["prices"]["attempts"] == 1 and told["unattributed_share"] == 0
-    assert "asked 0.40, told 20 ms ago" in run.invoke(app, ["lab", "account", str(tmp_path), "--follow", "n0t1"]).output
+    assert (
+        "asked 0.40 of capacity, reported 20 ms ago"
+        in run.invoke(app, ["lab", "account", str(tmp_path), "--follow", "n0t1"]).output
+    )
     assert run.invoke(app, ["lab", "account", str(tmp_path), "--follow", "nobody"]).exit_code == 2
     picture = tmp_path / "a.svg"
     assert run.invoke(app, ["lab", "account", str(tmp_path), "--plot", str(picture)]).exit_code == 0
