--- a/scaledeal/cli/lab.py
+++ b/scaledeal/cli/lab.py
@@ -224,13 +224,13 @@
     workers: Workers = HALF,
 ) -> None:
     """Draw days until a rule breaks, shrink what was found and keep it. Exit code 1 where something was found."""
-    from scaledeal.lab.hunt.party import hunted
+    from scaledeal.lab.hunt.workers import hunt_cases
     from scaledeal.lab.scenario.reading import load_text
 
     found = 0
     near = load_text(_text(scenario)) if scenario else None
     other = _variant(against).source if against else None
-    for case in hunted(
+    for case in hunt_cases(
         tries, seed, host, _variant(variant).source, workers, lambda text: typer.echo(text, err=True), other, near
     ):
         found += 1
--- a/scaledeal/lab/hunt/case.py
+++ b/scaledeal/lab/hunt/case.py
@@ -1,4 +1,4 @@
-"""A case: a whole scenario and a seed, as one file that replays, and the rule that it breaks."""
+"""A case: a whole scenario, a seed and the rule that they break, stored as one file that can be replayed."""
 
 from __future__ import annotations
 
@@ -19,35 +19,35 @@
 
 
 class Case(msgspec.Struct, frozen=True):
-    """What was found."""
+    """A day that the hunt found, with everything needed to play it again."""
 
     day: Scenario
     seed: int
     host: HostName = "module"
-    rule: str = ""  # that it breaks; empty where it only loses much
+    rule: str = ""  # the rule that it breaks; empty if it only scores low
     score: float = 0.0
     shuffle: bool = False
     note: str = ""
 
     def write(self, path: Path) -> None:
-        """Keep it."""
-        path.write_bytes(msgspec.json.format(msgspec.json.encode(self, enc_hook=_told), indent=1) + b"\n")
+        """Write the case as JSON."""
+        path.write_bytes(msgspec.json.format(msgspec.json.encode(self, enc_hook=_encode), indent=1) + b"\n")
 
     @classmethod
     def read(cls, path: Path) -> Case:
-        """Read one; raise ValueError where the file holds none."""
+        """Read a case; raise ValueError if the file holds none."""
         try:
-            return msgspec.json.decode(path.read_bytes(), type=cls, dec_hook=_read)
+            return msgspec.json.decode(path.read_bytes(), type=cls, dec_hook=_decode)
         except msgspec.MsgspecError as error:
             raise ValueError(f"{path}: {error}") from None
 
 
-def _told(value: Any) -> Any:
+def _encode(value: Any) -> Any:
     return int(value) if isinstance(value, Duration) else list(value)
 
 
-def _read(kind: type, value: Any) -> Any:
-    """Read what is kept as plain numbers: nanoseconds, and ends of ranges."""
+def _decode(kind: type, value: Any) -> Any:
+    """Decode the types stored as plain numbers: durations in ns, and ranges as pairs of bounds."""
     if kind is Duration:
         return Duration(value)
     if kind in (Span, Times):
@@ -56,19 +56,19 @@
 
 
 def replay(case: Case, factory: BalancerFactory = Balancer) -> tuple[Violation | None, float]:
-    """Play a case: return the rule that it breaks first, if any, and its figure."""
+    """Play a case and return its first violation, or None, and its score G; the score is 0 after a violation."""
     fleet = Fleet(case.day, case.seed, True, case.shuffle)
     try:
         with relay_logs_silenced():
             start_host(fleet, case.host, factory).run()
-    except BrokenRuleError as broken:
-        return broken.violation, 0.0
+    except BrokenRuleError as error:
+        return error.violation, 0.0
     except RunawayError as runaway:
         return Violation("runaway", "", fleet.kernel.now, str(runaway), ()), 0.0
     return None, float(fleet.service.result()["G"])
 
 
-def failure_of(case: Case, factory: BalancerFactory = Balancer) -> str:
-    """Return the rule that a case breaks, or nothing."""
+def find_broken_rule(case: Case, factory: BalancerFactory = Balancer) -> str:
+    """Return the rule that a case breaks, or an empty string."""
     violation, _ = replay(case, factory)
     return violation.rule if violation is not None else ""
--- a/scaledeal/lab/hunt/draw.py
+++ b/scaledeal/lab/hunt/draw.py
@@ -1,7 +1,7 @@
-"""Draws scenarios: small fleets, every kind of trouble, timings that overlap, habits of servers and clients.
+"""Draws scenarios: small fleets, every kind of trouble, overlapping times, and varied servers and clients.
 
-Small on purpose: what breaks a rule mostly takes few relays, few clients and two troubles at once, and a small day is
-played hundreds of times while a large one is played once.
+Fleets are small since most failures need only a few relays, a few clients and two troubles at once, and a small day
+can be played hundreds of times while a large one is played once.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 MS = 1_000_000
 SECOND = 1000 * MS
-KINDS: tuple[Kind, ...] = (
+TROUBLE_KINDS: tuple[Kind, ...] = (
     "hang",
     "pauses",
     "errors",
@@ -45,7 +45,8 @@
     "reload",
     "discovery_down",
 )
-SIZES: dict[str, tuple[float, float]] = {
+# Range of ``Trouble.size`` by kind, in the unit of that kind.
+TROUBLE_SIZES: dict[str, tuple[float, float]] = {
     "pauses": (50, 900),
     "errors": (0.2, 1),
     "deploy": (0.1, 1),
@@ -55,129 +56,130 @@
     "crowd": (0.5, 20),
 }
 
-USUAL: dict[Kind, float] = {"deploy": 0.4, "reload": 0.3, "crowd": 0.3}  # how often a day has one besides
-
-
-SPREAD = (0.75, 1.25)  # of a scenario's sizes, where its own days are hunted
+# Probability that a day has one of this kind in addition to the drawn troubles.
+ROUTINE_TROUBLES: dict[Kind, float] = {"deploy": 0.4, "reload": 0.3, "crowd": 0.3}
+SIZE_FACTORS = (0.75, 1.25)  # range by which ``vary_sizes`` multiplies the sizes of a scenario
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """How large a drawn day may be."""
+    """Upper bounds of a drawn day."""
 
     servers: int = 8
     relays: int = 3
     seconds: float = 12.0
     troubles: int = 3
-    life: float = 6.0
-    clients: float = 150.0  # that stand at once, on average, at most
-
-
-def drawn(draw: np.random.Generator, host: HostName, bounds: Bounds = Bounds()) -> Scenario:  # noqa: B008
-    """Return one scenario."""
-    seconds = int(draw.uniform(4, bounds.seconds) * SECOND)
-    servers = int(draw.integers(1, bounds.servers + 1))
-    count = int(draw.integers(1, bounds.troubles + 1))
-    per_core = float(draw.uniform(2, 12))
-    standing = float(np.exp(draw.uniform(np.log(3), np.log(bounds.clients))))
-    load = min(1.5, standing / (servers * 2 * per_core))
-    aim = int(draw.uniform(100, 500) * MS)
-    bad = 5.0 if host == "relay" and draw.random() < 0.3 else 0.0
+    client_life_s: float = 6.0  # mean client lifetimes are drawn from 1 s to this
+    connections: float = 150.0  # mean number at once
+
+
+def draw_scenario(rng: np.random.Generator, host: HostName, bounds: Bounds = Bounds()) -> Scenario:  # noqa: B008
+    """Return a random scenario within ``bounds``."""
+    length = int(rng.uniform(4, bounds.seconds) * SECOND)
+    server_count = int(rng.integers(1, bounds.servers + 1))
+    trouble_count = int(rng.integers(1, bounds.troubles + 1))
+    connections_per_core = float(rng.uniform(2, 12))
+    connections = float(np.exp(rng.uniform(np.log(3), np.log(bounds.connections))))
+    load = min(1.5, connections / (server_count * 2 * connections_per_core))
+    aim = int(rng.uniform(100, 500) * MS)
+    bad_clients_per_s = 5.0 if host == "relay" and rng.random() < 0.3 else 0.0
     return Scenario(
         title="drawn",
-        seconds=Duration(seconds),
-        zones=("a", "b", "c")[: int(draw.integers(1, 4))],
-        servers=_servers(draw, servers, per_core),
-        relays=_relays(draw, bounds),
+        seconds=Duration(length),
+        zones=("a", "b", "c")[: int(rng.integers(1, 4))],
+        servers=_draw_servers(rng, server_count, connections_per_core),
+        relays=_draw_relays(rng, bounds),
         classes=(
             Class(
                 name="one",
                 aim=Duration(aim),
-                deadline=Duration(aim + int(draw.uniform(0, 2000) * MS)),
-                message=Duration(int(draw.uniform(50, 250) * MS)),
+                deadline=Duration(aim + int(rng.uniform(0, 2000) * MS)),
+                message=Duration(int(rng.uniform(50, 250) * MS)),
                 worth=2.0,
             ),
             Class(name="two", aim=Duration(aim), deadline=Duration(2 * aim)),
         ),
         clients=Clients(
             load=load,
-            life=Times((SECOND, int(bounds.life * SECOND))),
-            retries=int(draw.integers(0, 4)),
-            impatient=float(draw.choice([0.0, 0.2])),
-            bad=bad,
+            life=Times((SECOND, int(bounds.client_life_s * SECOND))),
+            retries=int(rng.integers(0, 4)),
+            impatient=float(rng.choice([0.0, 0.2])),
+            bad=bad_clients_per_s,
         ),
         discovery=Discovery(
-            notice=_times(draw, 100, 3000),
-            add=_times(draw, 100, 1500),
-            silent=_times(draw, 500, 4000),
-            call=Duration(int(draw.choice([1, 20, 200]) * MS)),
+            notice=_draw_times(rng, 100, 3000),
+            add=_draw_times(rng, 100, 1500),
+            silent=_draw_times(rng, 500, 4000),
+            call=Duration(int(rng.choice([1, 20, 200]) * MS)),
         ),
-        store=Store(headroom=float(draw.choice([1.2, 5.0, 20.0]))),
-        trouble=tuple([_trouble(draw, seconds) for _ in range(count)] + _usual(draw, seconds)),
+        store=Store(headroom=float(rng.choice([1.2, 5.0, 20.0]))),
+        trouble=tuple([_draw_trouble(rng, length) for _ in range(trouble_count)] + _routine_troubles(rng, length)),
     )
 
 
-def around(draw: np.random.Generator, day: Scenario) -> Scenario:
-    """Return a scenario's day with other sizes: servers, relays and clients, each up to a quarter more or less."""
-    servers, relays, load = (float(draw.uniform(*SPREAD)) for _ in range(3))
+def vary_sizes(rng: np.random.Generator, day: Scenario) -> Scenario:
+    """Return a scenario with its numbers of servers and relays and its client load each varied by up to a quarter."""
+    server_factor, relay_factor, load_factor = (float(rng.uniform(*SIZE_FACTORS)) for _ in range(3))
     replace = msgspec.structs.replace
     return replace(
         day,
-        servers=replace(day.servers, count=max(1, round(servers * day.servers.count))),
-        relays=replace(day.relays, count=max(1, round(relays * day.relays.count))),
-        clients=replace(day.clients, load=load * day.clients.load),
+        servers=replace(day.servers, count=max(1, round(server_factor * day.servers.count))),
+        relays=replace(day.relays, count=max(1, round(relay_factor * day.relays.count))),
+        clients=replace(day.clients, load=load_factor * day.clients.load),
     )
 
 
-def _servers(draw: np.random.Generator, count: int, per_core: float) -> Servers:
+def _draw_servers(rng: np.random.Generator, count: int, connections_per_core: float) -> Servers:
     model = Model(
         name="m",
         cores=2,
         speed=Span((0.8, 1.6)),
-        cap=int(draw.choice([0, 3, 50])),
+        cap=int(rng.choice([0, 3, 50])),
         cold_from=Span((0.3, 0.6)),
-        cold=_times(draw, 1000, 6000),
+        cold=_draw_times(rng, 1000, 6000),
     )
     return Servers(
         count=count,
         model=(model,),
-        per_core=Span((per_core, per_core)),
-        goaway=bool(draw.random() < 0.7),
-        group_cost=float(draw.choice([0.0, 3.0])),
+        per_core=Span((connections_per_core, connections_per_core)),
+        goaway=bool(rng.random() < 0.7),
+        group_cost=float(rng.choice([0.0, 3.0])),
         group_size=5.0,
-        leaves=_times(draw, 500, 4000),
+        leaves=_draw_times(rng, 500, 4000),
     )
 
 
-def _relays(draw: np.random.Generator, bounds: Bounds) -> Relays:
+def _draw_relays(rng: np.random.Generator, bounds: Bounds) -> Relays:
     return Relays(
-        count=int(draw.integers(1, bounds.relays + 1)),
-        notice=_times(draw, 200, 3000),
-        sockets=int(draw.choice([150, 1024])),
+        count=int(rng.integers(1, bounds.relays + 1)),
+        notice=_draw_times(rng, 200, 3000),
+        sockets=int(rng.choice([150, 1024])),
     )
 
 
-def _usual(draw: np.random.Generator, seconds: int) -> list[Trouble]:
-    """Return what operators do every day and clients with them: most failures need one of these beside another."""
-    return [_trouble(draw, seconds, kind) for kind, share in USUAL.items() if draw.random() < share]
+def _routine_troubles(rng: np.random.Generator, length: int) -> list[Trouble]:
+    """Return routine events such as deploys: most failures need one of them together with another trouble."""
+    return [
+        _draw_trouble(rng, length, kind) for kind, probability in ROUTINE_TROUBLES.items() if rng.random() < probability
+    ]
 
 
-def _trouble(draw: np.random.Generator, seconds: int, kind: Kind | None = None) -> Trouble:
-    kind = kind or KINDS[int(draw.integers(len(KINDS)))]
-    at = int(draw.uniform(0, 0.8) * seconds)
-    lasts = int(draw.uniform(0.1, 0.6) * seconds)
-    low, high = SIZES.get(kind, (0.0, 0.0))
-    part = float(draw.uniform(0.1, 1.0))
+def _draw_trouble(rng: np.random.Generator, length: int, kind: Kind | None = None) -> Trouble:
+    kind = kind or TROUBLE_KINDS[int(rng.integers(len(TROUBLE_KINDS)))]
+    at = int(rng.uniform(0, 0.8) * length)
+    duration = int(rng.uniform(0.1, 0.6) * length)
+    low, high = TROUBLE_SIZES.get(kind, (0.0, 0.0))
+    part = float(rng.uniform(0.1, 1.0))
     return Trouble(
         name=kind,
         at=Times((at, at)),
-        lasts=Times((lasts, lasts)),
+        lasts=Times((duration, duration)),
         part=Span((part, part)),
-        size=float(draw.uniform(low, high)) if high else 0.0,
-        period=_times(draw, 200, 2500),
-        one_way=bool(draw.random() < 0.3),
+        size=float(rng.uniform(low, high)) if high else 0.0,
+        period=_draw_times(rng, 200, 2500),
+        one_way=bool(rng.random() < 0.3),
     )
 
 
-def _times(draw: np.random.Generator, low: float, high: float) -> Times:
-    ends = sorted(int(draw.uniform(low, high) * MS) for _ in range(2))
-    return Times((ends[0], ends[1]))
+def _draw_times(rng: np.random.Generator, low_ms: float, high_ms: float) -> Times:
+    bounds = sorted(int(rng.uniform(low_ms, high_ms) * MS) for _ in range(2))
+    return Times((bounds[0], bounds[1]))
--- a/scaledeal/lab/hunt/shrink.py
+++ b/scaledeal/lab/hunt/shrink.py
@@ -1,7 +1,7 @@
-"""Takes away from a case all that it does not need to break its rule: troubles, relays, servers, time, clients.
+"""Shrinks a case: removes troubles, relays, servers, time and clients that it does not need to break its rule.
 
-Each step is tried on its own and kept where the same rule still breaks; a day is played again for each, with other
-seeds too, since a smaller fleet draws otherwise. It ends when no step helps, or after so many tries.
+Each step is tried on its own and kept if the same rule still breaks. Every step is played with several seeds, since
+other numbers are drawn for a smaller fleet. Shrinking ends when no step helps, or after a maximum number of runs.
 """
 
 from __future__ import annotations
@@ -15,59 +15,60 @@
 from scaledeal.lab.hunt.case import Case
 
 SECOND = 1_000_000_000
-SEEDS = 6  # other seeds tried where a smaller day holds with its own
-TRIES = 400
+SEEDS_PER_STEP = 6  # the seed of the case first
+MAX_RUNS = 400
 
-Fails = Callable[[Case], str]  # the rule that a case breaks, or nothing
+FindRule = Callable[[Case], str]  # returns the rule that a case breaks, or ""
 
 
-def shrink(case: Case, fails: Fails, tries: int = TRIES) -> Case:
+def shrink(case: Case, find_rule: FindRule, max_runs: int = MAX_RUNS) -> Case:
     """Return the smallest case found that breaks the same rule."""
-    left = [tries]
-    again = True
-    while again and left[0] > 0:
-        again = False
-        for smaller in _smaller(case):
-            if (found := _still(smaller, case.rule, fails, left)) is not None:
-                case, again = found, True
+    runs_left = [max_runs]
+    progress = True
+    while progress and runs_left[0] > 0:
+        progress = False
+        for smaller in _smaller_cases(case):
+            if (reproduced := _reproduce(smaller, case.rule, find_rule, runs_left)) is not None:
+                case, progress = reproduced, True
                 break
     return case
 
 
-def _still(case: Case, rule: str, fails: Fails, left: list[int]) -> Case | None:
-    for other in range(SEEDS):
-        if left[0] <= 0:
+def _reproduce(case: Case, rule: str, find_rule: FindRule, runs_left: list[int]) -> Case | None:
+    """Return the case with the first seed with which it breaks the rule; count the runs down in ``runs_left``."""
+    for offset in range(SEEDS_PER_STEP):
+        if runs_left[0] <= 0:
             return None
-        left[0] -= 1
-        tried = msgspec.structs.replace(case, seed=case.seed + other)
-        if fails(tried) == rule:
-            return tried
+        runs_left[0] -= 1
+        candidate = msgspec.structs.replace(case, seed=case.seed + offset)
+        if find_rule(candidate) == rule:
+            return candidate
     return None
 
 
-def _with(case: Case, **more: Any) -> Case:
-    return msgspec.structs.replace(case, day=msgspec.structs.replace(case.day, **more))
+def _replace_in_day(case: Case, **changes: Any) -> Case:
+    return msgspec.structs.replace(case, day=msgspec.structs.replace(case.day, **changes))
 
 
-def _smaller(case: Case) -> Iterator[Case]:
-    """Yield days with less in them, the boldest steps first."""
+def _smaller_cases(case: Case) -> Iterator[Case]:
+    """Yield cases with one part removed or reduced; within each part the largest reduction comes first."""
     day = case.day
-    for place in range(len(day.trouble)):
-        yield _with(case, trouble=day.trouble[:place] + day.trouble[place + 1 :])
+    for index in range(len(day.trouble)):
+        yield _replace_in_day(case, trouble=day.trouble[:index] + day.trouble[index + 1 :])
     if day.clients.load > 0.02:
         for factor in (0.25, 0.5, 0.8):
-            yield _with(case, clients=msgspec.structs.replace(day.clients, load=day.clients.load * factor))
+            yield _replace_in_day(case, clients=msgspec.structs.replace(day.clients, load=day.clients.load * factor))
     for name in ("relays", "servers"):
         block = getattr(day, name)
         for count in sorted({1, block.count // 2, block.count - 1} - {0, block.count}):
-            yield _with(case, **{name: msgspec.structs.replace(block, count=count)})
+            yield _replace_in_day(case, **{name: msgspec.structs.replace(block, count=count)})
     if len(day.classes) > 1:
-        yield _with(case, classes=day.classes[:1])
+        yield _replace_in_day(case, classes=day.classes[:1])
     if len(day.zones) > 1 and all(trouble.zone is None for trouble in day.trouble):
-        yield _with(case, zones=day.zones[:1])
+        yield _replace_in_day(case, zones=day.zones[:1])
     if day.clients.standing:
-        yield _with(case, clients=msgspec.structs.replace(day.clients, standing=False))
-    ends = max([int(trouble.at.high + trouble.lasts.high) for trouble in day.trouble], default=0)
-    for seconds in (day.seconds // 2, day.seconds * 3 // 4, ends + SECOND):
+        yield _replace_in_day(case, clients=msgspec.structs.replace(day.clients, standing=False))
+    last_trouble_end = max([int(trouble.at.high + trouble.lasts.high) for trouble in day.trouble], default=0)
+    for seconds in (day.seconds // 2, day.seconds * 3 // 4, last_trouble_end + SECOND):
         if SECOND <= seconds < day.seconds and all(t.at.high <= seconds for t in day.trouble):
-            yield _with(case, seconds=Duration(seconds))
+            yield _replace_in_day(case, seconds=Duration(seconds))
--- a/tests/test_lab_runs.py
+++ b/tests/test_lab_runs.py
@@ -22,9 +22,9 @@
 from scaledeal.hcl import FileError
 from scaledeal.lab.experiments.statistics import compare
 from scaledeal.lab.experiments.sweep import VariantError, compare_variants, make_jobs, parse_variant, sweep
-from scaledeal.lab.hunt import Case, drawn, failure_of, shrink
-from scaledeal.lab.hunt.draw import around
-from scaledeal.lab.hunt.party import factory_of
+from scaledeal.lab.hunt import Case, draw_scenario, find_broken_rule, shrink
+from scaledeal.lab.hunt.draw import vary_sizes
+from scaledeal.lab.hunt.workers import load_factory
 from scaledeal.lab.runs import Job, Variant
 from scaledeal.lab.runs import worker as workers
 from scaledeal.lab.runs.store import Store, StoreError
@@ -223,7 +223,7 @@
 
 def test_a_case_is_read_back_as_it_was_written(tmp_path: Path):
     for number in range(20):
-        case = Case(drawn(np.random.default_rng(number), "module"), number, rule="x")
+        case = Case(draw_scenario(np.random.default_rng(number), "module"), number, rule="x")
         case.write(tmp_path / "case.json")
         assert Case.read(tmp_path / "case.json") == case
     (tmp_path / "case.json").write_text("{")
@@ -233,10 +233,10 @@
 
 def test_a_case_is_shrunk_to_what_is_needed_to_reproduce_it():
     case = Case(day(("hang", "crowd", "slow_store", "reload"), overload=True), 1, rule="one attempt")
-    factory = factory_of(lab_broken.TWO_AT_ONCE)
-    assert failure_of(case, factory) == "one attempt"
-    small = shrink(case, lambda tried: failure_of(tried, factory), 120)
-    assert failure_of(small, factory) == "one attempt"
+    factory = load_factory(lab_broken.TWO_AT_ONCE)
+    assert find_broken_rule(case, factory) == "one attempt"
+    small = shrink(case, lambda tried: find_broken_rule(tried, factory), 120)
+    assert find_broken_rule(small, factory) == "one attempt"
     assert len(small.day.trouble) <= 1 and small.day.relays.count == 1, msgspec.to_builtins(small.day.relays)
     assert small.day.clients.load < case.day.clients.load
 
@@ -244,7 +244,7 @@
 def test_a_hunt_over_a_scenario_draws_its_sizes_and_keeps_the_cases_that_break_a_rule(tmp_path: Path):
     scenario, sizes = day(("hang", "crowd")), set()
     for number in range(40):
-        drawn_day = around(np.random.default_rng(number), scenario)
+        drawn_day = vary_sizes(np.random.default_rng(number), scenario)
         sizes.add(drawn_day.servers.count)
         assert 0.75 <= drawn_day.clients.load / scenario.clients.load <= 1.25
         assert drawn_day.trouble == scenario.trouble and drawn_day.classes == scenario.classes
@@ -267,8 +267,8 @@
     case = Case.read(path)
     name = path.stem.partition("-")[0]
     if name != "mended":  # else the name of a planted fault in lab_broken; mended: a former fault of the module itself
-        assert failure_of(case, factory_of(getattr(lab_broken, name))) == case.rule
-    assert failure_of(case) == "", "the current module breaks the rule too"
+        assert find_broken_rule(case, load_factory(getattr(lab_broken, name))) == case.rule
+    assert find_broken_rule(case) == "", "the current module breaks the rule too"
 
 
 def test_there_are_kept_cases():
