--- a/scaledeal/lab/account/client_histories.py
+++ b/scaledeal/lab/account/client_histories.py
@@ -46,7 +46,7 @@
     """A message that was answered late, or is not answered yet."""
 
     sent: float
-    until: float  # time of the answer; 0 while it is pending
+    until: float  # when it was answered or the request ended; 0 while it is pending
     delay_ms: float
 
 
--- a/scaledeal/lab/account/ledger.py
+++ b/scaledeal/lab/account/ledger.py
@@ -121,7 +121,7 @@
                 yield max(at, began), until, reason
 
     def describe(self, server: str, at: float) -> str:
-        """Return the state of a server at a time, by the latest report of any relay: up to 4 s old, or 0.5 s later."""
+        """Return a server's state at a time, by the latest report of any relay from 4 s before to 0.5 s after it."""
         index = bisect_right(self.report_times[server], at + 0.5) - 1
         if index < 0 or at - self.report_times[server][index] > 4.0:
             return "not reported"
--- a/scaledeal/lab/account/reading.py
+++ b/scaledeal/lab/account/reading.py
@@ -13,7 +13,7 @@
 
 
 class UnreadableError(Exception):
-    """The folder holds no trace lines; the message says why."""
+    """A folder or file that does not exist or holds no trace lines; the message says which."""
 
 
 class Trace(msgspec.Struct):
--- a/scaledeal/lab/account/tables.py
+++ b/scaledeal/lab/account/tables.py
@@ -26,7 +26,7 @@
     "cold",
     "largest loss",
 )
-MAX_ROWS = 24  # of a table of causes or servers
+MAX_ROWS = 24  # causes, relays or servers that a table shows
 
 
 def table(header: tuple[str, ...], rows: Iterable[tuple[object, ...]]) -> list[str]:
