--- a/scaledeal/cli/lab.py
+++ b/scaledeal/cli/lab.py
@@ -72,18 +72,26 @@
 
 def _print_client(ledger: object, id_or_key: str) -> None:
     from scaledeal.lab.account.ledger import Ledger
-    from scaledeal.lab.account.tables import story
+    from scaledeal.lab.account.tables import format_history
 
     assert isinstance(ledger, Ledger)
-    by_key = ledger.journeys.by_key
+    by_key = ledger.histories.by_key
     key = (
         id_or_key
         if id_or_key in by_key
-        else next((visit.key for visits in by_key.values() for visit in visits if visit.id == id_or_key), "")
+        else next(
+            (
+                request.key
+                for requests in by_key.values()
+                for request in requests
+                if request.client_request_id == id_or_key
+            ),
+            "",
+        )
     )
     if not key:
         raise _usage_error(f"{id_or_key}: no trace has this id or key")
-    typer.echo(f"key {key}\n{story(by_key[key], ledger.start)}")
+    typer.echo(f"key {key}\n{format_history(by_key[key], ledger.start)}")
 
 
 def _write_plot(ledger: object, path: Path) -> None:
@@ -221,13 +229,13 @@
     workers: Workers = DEFAULT_WORKERS,
 ) -> None:
     """Simulate random days, shrink the first violation of each rule and store it. Exit code 1 if any was found."""
-    from scaledeal.lab.hunt.party import hunted
+    from scaledeal.lab.hunt.workers import hunt_cases
     from scaledeal.lab.scenario.reading import load_text
 
     found = 0
     base = load_text(_scenario_text(scenario)) if scenario else None
     baseline = _parse_variant(against).source if against else None
-    for case in hunted(
+    for case in hunt_cases(
         tries,
         seed,
         host,
