--- a/scaledeal/net/app_server.py
+++ b/scaledeal/net/app_server.py
@@ -1,4 +1,4 @@
-"""The application server's side: a connection to one, and how it is opened."""
+"""A connection to an application server, and how it is opened."""
 
 from __future__ import annotations
 
@@ -13,70 +13,70 @@
 from scaledeal.net.buffers import BufferPool
 from scaledeal.net.lines import END, LineLink
 from scaledeal.net.ports import Connector, Reactor
-from scaledeal.net.socket_errors import is_own_fault
+from scaledeal.net.socket_errors import is_local_failure
 
 
 class LinkEvents(Protocol):
-    """Who owns a connection to an application server and hears of it."""
+    """The owner of a connection to an application server, which receives its events."""
 
     def link_up(self) -> None:
-        """Hear that the connection stands."""
+        """Handle the establishment of the connection."""
 
-    def connect_failed(self, ours: bool) -> None:
-        """Hear that it never came up; ``ours``: for want of a socket here, which says nothing of the server."""
+    def connect_failed(self, local: bool) -> None:
+        """Handle a failed connect; ``local``: this machine lacked a socket, so it says nothing about the server."""
 
-    def line_came(self, line: bytes) -> None:
-        """Hear a line."""
+    def line_received(self, line: bytes) -> None:
+        """Handle one line, without its end."""
 
     def link_lost(self, broke: bool) -> None:
-        """Hear that it is over."""
+        """Handle the end of the connection; ``broke`` is False if it was closed in order or by this end."""
 
 
 class AppServerLink(LineLink):
-    """A connection to an application server; its owner hears everything."""
+    """A connection to an application server; every event goes to its owner."""
 
     def __init__(self, reactor: Reactor, pool: BufferPool, owner: LinkEvents) -> None:
         super().__init__(reactor, pool)
         self.owner = owner
-        self.first: _FirstLine | None = None  # the first line, until its last byte is written
+        self.first_line: _FirstLineProducer | None = None  # set until the last byte of the first line is written
 
     def link_up(self) -> None:
-        """Pass it on."""
+        """Forward the event to the owner."""
         self.owner.link_up()
 
     def line_received(self, line: bytes) -> None:
-        """Pass it on."""
-        self.owner.line_came(line)
+        """Forward the line to the owner."""
+        self.owner.line_received(line)
 
     def peer_ended_sending(self) -> None:
         """Treat the end of an application server's sending as the end of the connection."""
         self.close()
 
     def link_lost(self, broke: bool) -> None:
-        """Pass it on."""
+        """Forward the event to the owner."""
         self.owner.link_lost(broke)
 
-    def send_first(self, line: bytes, written: Callable[[], None]) -> None:
-        """Queue a line and call back once its last byte is written."""
+    def send_first_line(self, line: bytes, on_written: Callable[[], None]) -> None:
+        """Queue the first line and call ``on_written`` once its last byte is written."""
         if self.wire is not None:
-            self.first = _FirstLine(self, line + END, written)
-            self.wire.registerProducer(self.first, False)
+            self.first_line = _FirstLineProducer(self, line + END, on_written)
+            self.wire.registerProducer(self.first_line, False)
 
     def close(self) -> None:
-        """Close once what is queued is written, but for a first line: one that is not out yet never is."""
-        # Guards against a request that is written whole to a server which ended the connection first: told as never
-        # sent it is tried again elsewhere, and both may run.
-        if self.first is not None:
+        """Close once the queued lines are written; reset if the first line is not completely written yet."""
+        # Were the rest of the first line still written to a server that has ended the connection, the request would be
+        # reported as never sent and tried at another server, and both servers might run it.
+        if self.first_line is not None:
             self.reset()
         else:
             super().close()
 
 
-class _FirstLine:
-    """Asked for more by the transport once all before is written: so it knows when its line is out."""
+class _FirstLineProducer:
+    """A pull producer of the first line: the transport asks it again once the line's last byte is written."""
 
-    def __init__(self, link: AppServerLink, data: bytes, written: Callable[[], None]) -> None:
-        self.link, self.data, self.written = link, data, written
+    def __init__(self, link: AppServerLink, data: bytes, on_written: Callable[[], None]) -> None:
+        self.link, self.data, self.on_written = link, data, on_written
 
     def resumeProducing(self) -> None:  # noqa: N802, D102
         if self.link.wire is None:
@@ -86,14 +86,14 @@
             self.link.wire.write(data)
         else:
             self.link.wire.unregisterProducer()
-            self.link.first = None
-            self.written()
+            self.link.first_line = None
+            self.on_written()
 
     def stopProducing(self) -> None:  # noqa: N802, D102
-        """Nothing: the link's owner hears of the end."""
+        """Do nothing: the link's owner receives ``link_lost``."""
 
 
-class _Dial(ClientFactory):
+class _LinkFactory(ClientFactory):
     """Opens one connection."""
 
     noisy = False
@@ -105,22 +105,22 @@
         return self.link
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802, D102
-        self.link.owner.connect_failed(_ours(reason))
+        self.link.owner.connect_failed(_failed_locally(reason))
 
 
-def _ours(reason: Failure) -> bool:
-    """Tell whether a connection did not come up for want of a socket, an address or memory here."""
+def _failed_locally(reason: Failure) -> bool:
+    """Return whether a connect failed because this machine lacked a socket, a local address or memory."""
     bind_failed = reason.check(error.ConnectBindError) is not None
-    return bind_failed or is_own_fault(getattr(reason.value, "osError", None))
+    return bind_failed or is_local_failure(getattr(reason.value, "osError", None))
 
 
 def dial(link: AppServerLink, address: str, timeout: float) -> Connector | None:
-    """Open a connection; one that does not stand in time counts as failed. None where that can't even begin."""
+    """Open a connection, which fails after ``timeout`` seconds; return None if it fails before it begins."""
     host, _, port = address.rpartition(":")
     try:
-        return link.reactor.connectTCP(host, int(port), _Dial(link), timeout)
+        return link.reactor.connectTCP(host, int(port), _LinkFactory(link), timeout)
     except (ValueError, OSError) as failure:
-        # Guards against an attempt of which no end is told: the decision module would wait for it for ever.
-        ours = isinstance(failure, OSError)
-        link.reactor.callLater(0, lambda: link.owner.connect_failed(ours))
+        # Without this event the attempt would have no end, and the decision module would wait for it for ever.
+        local = isinstance(failure, OSError)
+        link.reactor.callLater(0, lambda: link.owner.connect_failed(local))
         return None
--- a/scaledeal/net/attempt.py
+++ b/scaledeal/net/attempt.py
@@ -1,7 +1,7 @@
 """One attempt at an application server: connect, send, wait, relay, close.
 
-It owns its connection and the timer of its wait. Before the connection stands, its end is told only once the
-socket is closed, so that no second attempt can be out beside it.
+An attempt owns its connection and its timeout. The end of an attempt that is not established yet is reported only once
+its socket is closed, so that no second attempt of the request can run at the same time.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 from scaledeal.net.ports import Connector, Reactor, Timer
 from scaledeal.net.sides import AttemptEvents
 
-SECOND = 1e9
-HALF_CLOSED = 0.9  # seconds that an application server gets to end what its client has ended
+NS_PER_S = 1e9
+HALF_CLOSE_TIMEOUT_S = 0.9  # time in which an application server can close a connection whose client has ended sending
 
 
 class Stage(Enum):
-    """How far an attempt has come."""
+    """The state of an attempt."""
 
     CONNECTING = 1
-    SENDING = 2  # the first line's last byte is not written yet: it can't have run
+    SENDING = 2  # the last byte of the first line is not written yet, so the request can't have run
     WAITING = 3
-    STANDING = 4
+    ESTABLISHED = 4
     ENDING = 5
 
 
@@ -41,25 +41,25 @@
     pool: BufferPool
     now: Callable[[], int]
     read_report: Callable[[bytes], tuple[float, ...]]
-    dial_timeout: int
+    dial_timeout: int  # ns
 
 
 class Peer(Protocol):
     """The user agent's connection."""
 
-    def stands(self, link: LineLink, line: bytes) -> bool:
-        """Pass on the answer; from here on lines go both ways. Tell whether the client is still there."""
+    def established(self, link: LineLink, line: bytes) -> bool:
+        """Send the answer to the client and relay lines from now on; return False if the client has left."""
 
     def pass_on(self, line: bytes) -> None:
-        """Pass a line on to the client."""
+        """Send a line to the client."""
 
 
-_ENDINGS = {wording.BYE: api.Result.OK, wording.MOVE: api.Result.CANCELLED, wording.ERR: api.Result.ERROR}
-_ANSWERS = {**_ENDINGS, wording.BUSY: api.Result.FULL}
+_CLOSING_RESULTS = {wording.BYE: api.Result.OK, wording.MOVE: api.Result.CANCELLED, wording.ERR: api.Result.ERROR}
+_ANSWER_RESULTS = {**_CLOSING_RESULTS, wording.BUSY: api.Result.FULL}
 
 
 class LineAttempt:
-    """One attempt."""
+    """One attempt over the line protocol."""
 
     def __init__(self, context: AttemptContext, line: bytes, peer: Peer, events: AttemptEvents) -> None:
         self.context = context
@@ -70,32 +70,32 @@
         self.link = AppServerLink(context.reactor, context.pool, self)
         self.result: api.Result | None = None
         self.report: tuple[float, ...] = ()
-        self.last_word = api.Result.RESET  # how the connection ended, if it ended now
-        self.asked_at = 0  # when the oldest line without an answer was passed on
-        self.parting = False  # the client has ended its sending
+        self.result_if_lost = api.Result.RESET  # the result if an established connection ended now
+        self.oldest_unanswered_at = 0  # when the oldest message without an answer was sent, in ns; 0 if there is none
+        self.client_ended = False  # the client has ended its sending
         self.connector: Connector | None = None
         self.timer: Timer | None = None
 
     def begin(self, address: str, wait: int) -> LineAttempt:
-        """Connect; the whole attempt may wait so many nanoseconds for its answer."""
-        self.timer = self.context.reactor.callLater(wait / SECOND, self._timed_out)
-        self.connector = dial(self.link, address, min(wait, self.context.dial_timeout) / SECOND)
+        """Connect; the whole attempt may wait ``wait`` nanoseconds for its answer."""
+        self.timer = self.context.reactor.callLater(wait / NS_PER_S, self._timed_out)
+        self.connector = dial(self.link, address, min(wait, self.context.dial_timeout) / NS_PER_S)
         return self
 
-    # What the transaction calls
+    # Called by the transaction
 
-    def give_up(self) -> None:
-        """Stop waiting."""
+    def cancel(self) -> None:
+        """Cancel the attempt."""
         self._stop(api.Result.CANCELLED)
 
     def withdraw(self, result: api.Result = api.Result.CONNECT_FAILED) -> None:
-        """Give up what has not been sent yet: a first line of which the last byte is not written can't run."""
+        """Cancel the attempt if the last byte of its first line is not written: such a request can't run."""
         if self.stage in (Stage.CONNECTING, Stage.SENDING):
             self._stop(result)
 
-    def leave(self, broke: bool) -> None:
-        """End a connection that stands: the user agent's side is over."""
-        if self.stage is not Stage.STANDING:
+    def client_left(self, broke: bool) -> None:
+        """Close an established connection after the client's has ended: in order, or with a reset if ``broke``."""
+        if self.stage is not Stage.ESTABLISHED:
             return
         self.stage, self.result = Stage.ENDING, api.Result.CANCELLED
         if broke:
@@ -104,122 +104,126 @@
             self.link.end()
 
     def client_ended_sending(self) -> None:
-        """End the sending as the client did; what the application server still says passes for a while."""
-        if self.stage is Stage.STANDING:
-            self.last_word = api.Result.CANCELLED
-            self.parting = True
+        """End the sending as the client did; relay the server's lines for up to ``HALF_CLOSE_TIMEOUT_S``."""
+        if self.stage is Stage.ESTABLISHED:
+            self.result_if_lost = api.Result.CANCELLED
+            self.client_ended = True
             self.link.end_sending()
             self._stop_timer()
-            self.timer = self.context.reactor.callLater(HALF_CLOSED, self._stop, api.Result.CANCELLED)
+            self.timer = self.context.reactor.callLater(HALF_CLOSE_TIMEOUT_S, self._stop, api.Result.CANCELLED)
 
-    def silent_since(self) -> int:
-        """Return since when a message has waited for its answer, or 0."""
-        return self.asked_at if self.stage is Stage.STANDING else 0
+    def unanswered_since(self) -> int:
+        """Return since when a message has waited for its answer, in ns on the driver's clock; 0 if none waits."""
+        return self.oldest_unanswered_at if self.stage is Stage.ESTABLISHED else 0
 
-    def break_off(self) -> None:
-        """Take a connection that returns nothing as broken."""
-        if self.stage is Stage.STANDING:
+    def close_as_broken(self) -> None:
+        """Close a connection that returns nothing, and treat it as broken."""
+        if self.stage is Stage.ESTABLISHED:
             self._stop(api.Result.RESET)
 
-    def resumed(self, asked_at: int) -> None:
-        """Stand from the beginning: another process has brought it up."""
-        self.stage, self.asked_at = Stage.STANDING, asked_at
+    def resumed(self, oldest_unanswered_at: int) -> None:
+        """Start as established: another process has set up the connection."""
+        self.stage, self.oldest_unanswered_at = Stage.ESTABLISHED, oldest_unanswered_at
 
-    def let_go(self) -> None:
-        """Give up a connection that another process has."""
+    def release(self) -> None:
+        """Close this process's descriptor of a connection that another process has taken, without ending it."""
         self.stage = Stage.ENDING
         self.link.release()
 
-    # What the user agent's side calls
+    # Called by the user agent's side
 
-    def message(self, line: bytes) -> None:
-        """Pass a client's line on."""
-        if self.stage is Stage.STANDING and not self.parting:
-            self.asked_at = self.asked_at or self.context.now()
+    def send_message(self, line: bytes) -> None:
+        """Send a client's line to the application server."""
+        if self.stage is Stage.ESTABLISHED and not self.client_ended:
+            self.oldest_unanswered_at = self.oldest_unanswered_at or self.context.now()
             self.link.send(line)
 
-    # News of the connection
+    # Events of the connection
 
     def link_up(self) -> None:
-        """Send the first line."""
+        """Send the first line, unless the guard forbids it."""
         if self.stage is Stage.CONNECTING:
             self.connector = None
             if not self.events.may_write():
                 self._stop(api.Result.CONNECT_FAILED)
                 return
             self.stage = Stage.SENDING
-            self.link.send_first(self.line, self._written)
-        elif self.stage is not Stage.STANDING:
+            self.link.send_first_line(self.line, self._first_line_written)
+        elif self.stage is not Stage.ESTABLISHED:
             self.link.reset()
 
-    def connect_failed(self, ours: bool) -> None:
-        """Hear that the connection never came up."""
+    def connect_failed(self, local: bool) -> None:
+        """Report that the connection was not established."""
         self.connector = None
-        # Guards against servers suspected one by one because this process has no descriptor left.
-        self._over(self.result or (api.Result.NOT_SENT if ours else api.Result.CONNECT_FAILED), False)
-
-    def line_came(self, line: bytes) -> None:
-        """Take a line of the application server's."""
-        if self.stage is Stage.STANDING:
-            self._pass_on(line)
+        # A local failure has a result of its own: a process without free descriptors would otherwise suspect one
+        # server after another.
+        self._report_end(self.result or (api.Result.NOT_SENT if local else api.Result.CONNECT_FAILED), False)
+
+    def line_received(self, line: bytes) -> None:
+        """Handle a line of the application server."""
+        if self.stage is Stage.ESTABLISHED:
+            self._relay_line(line)
         elif self.stage is not Stage.ENDING:
-            self._answer(line)
+            self._handle_answer(line)
 
     def link_lost(self, broke: bool) -> None:
-        """Hear that the connection is over."""
+        """Report the end of the connection."""
         if self.stage is Stage.CONNECTING or self.stage is Stage.SENDING:
-            self._over(api.Result.CONNECT_FAILED, broke)
+            self._report_end(api.Result.CONNECT_FAILED, broke)
         elif self.stage is Stage.ENDING:
-            # Guards against a last word that the client never reads: resets are passed on, partings are not.
-            self._over(self.result or api.Result.RESET, False)
+            # A reset after BYE, MOVE or a refusal is not passed on: it could destroy the last line before the client
+            # has read it.
+            self._report_end(self.result or api.Result.RESET, False)
         else:
-            self._over(self.last_word, broke)
+            self._report_end(self.result_if_lost, broke)
 
-    # Inside
+    # Internal methods
 
-    def _written(self) -> None:
+    def _first_line_written(self) -> None:
         if self.stage is Stage.SENDING:
             self.stage = Stage.WAITING
             self.events.request_written()
 
-    def _answer(self, line: bytes) -> None:
-        """Take a line that comes before the connection stands."""
+    def _handle_answer(self, line: bytes) -> None:
+        """Handle a line received before the connection is established."""
         word = wording.first_word(line)
         if word == wording.UP:
             self._stop_timer()
-            self.stage = Stage.STANDING
-            if self.peer.stands(self.link, line):
+            self.stage = Stage.ESTABLISHED
+            if self.peer.established(self.link, line):
                 self.events.established()
             else:
-                # Guards against a connection that stands for nobody, where the module may not cancel.
+                # The client has left. A module that may not cancel would leave the connection open without a client.
                 self._stop(api.Result.CANCELLED)
         elif word == wording.LOAD:
-            self._load(line)
+            self._report_load(line)
         else:
             self.report = self.context.read_report(line)
-            self.stage, self.result = Stage.ENDING, _ANSWERS.get(word, api.Result.ERROR)
+            self.stage, self.result = Stage.ENDING, _ANSWER_RESULTS.get(word, api.Result.ERROR)
             if word == wording.BYE:
                 self.peer.pass_on(line)
             self.link.close()
 
-    def _pass_on(self, line: bytes) -> None:
-        """Take a line of a connection that stands."""
+    def _relay_line(self, line: bytes) -> None:
+        """Handle a line of an established connection."""
         word = wording.first_word(line)
         self.peer.pass_on(line)
         if word == wording.LOAD:
-            self._load(line)
+            self._report_load(line)
             return
-        if self.asked_at:
-            took = self.context.now() - self.asked_at
-            self.asked_at = 0
-            self.events.message_answered(took)
-        self.last_word = _ENDINGS.get(word, api.Result.CANCELLED if self.parting else api.Result.RESET)
+        if self.oldest_unanswered_at:
+            duration = self.context.now() - self.oldest_unanswered_at
+            self.oldest_unanswered_at = 0
+            self.events.message_answered(duration)
+        self.result_if_lost = _CLOSING_RESULTS.get(
+            word, api.Result.CANCELLED if self.client_ended else api.Result.RESET
+        )
         if word in (wording.BYE, wording.MOVE):
             self.report = self.context.read_report(line)
-            self.stage, self.result = Stage.ENDING, self.last_word
+            self.stage, self.result = Stage.ENDING, self.result_if_lost
             self.link.close()
 
-    def _load(self, line: bytes) -> None:
+    def _report_load(self, line: bytes) -> None:
         amount = wording.number_or_nan(line.partition(b" ")[2].decode("ascii", "replace"))
         self.events.load_received(amount)
 
@@ -228,18 +232,18 @@
         self._stop(api.Result.TIMEOUT)
 
     def _stop(self, result: api.Result) -> None:
-        """Close at once; the end is told when the socket is closed."""
+        """Close at once; the end is reported when the socket is closed."""
         if self.stage is Stage.ENDING:
             return
-        # Guards against a connection that never came up counting as one that may have run.
-        early = self.stage in (Stage.CONNECTING, Stage.SENDING) and result is api.Result.TIMEOUT
-        self.stage, self.result = Stage.ENDING, api.Result.CONNECT_FAILED if early else result
+        # A timeout before the first line is written counts as a failed connect, since the request can't have run.
+        not_sent = self.stage in (Stage.CONNECTING, Stage.SENDING) and result is api.Result.TIMEOUT
+        self.stage, self.result = Stage.ENDING, api.Result.CONNECT_FAILED if not_sent else result
         if self.connector is not None:
             self.connector.stopConnecting()
         else:
             self.link.reset()
 
-    def _over(self, result: api.Result, broke: bool) -> None:
+    def _report_end(self, result: api.Result, broke: bool) -> None:
         self.stage, self.result = Stage.ENDING, result
         self._stop_timer()
         self.events.attempt_ended(result, self.report, broke)
--- a/scaledeal/net/client_listener.py
+++ b/scaledeal/net/client_listener.py
@@ -15,7 +15,7 @@
 from scaledeal.net.admission import RESERVED_FOR_CLOSING
 from scaledeal.net.patient_sockets import PatientServer
 from scaledeal.net.ports import Reactor, Timer
-from scaledeal.net.socket_errors import AcceptErrors, Remedy
+from scaledeal.net.socket_errors import AcceptAction, AcceptErrors
 from scaledeal.net.user_agent import ClientContext, UserAgent
 
 log = logging.getLogger("scaledeal.client_listener")
@@ -71,7 +71,7 @@
         When descriptors are short for a single call, Twisted's loop accepts connections with a reserved descriptor and
         closes them unread; it also logs tracebacks for errors that accept(2) documents.
         """
-        if self._accept(RESERVED_FOR_CLOSING, MAX_ACCEPT_ERRORS) is Remedy.SOON:
+        if self._accept(RESERVED_FOR_CLOSING, MAX_ACCEPT_ERRORS) is AcceptAction.RETRY_LATER:
             self._pause_reading()
 
     def loseConnection(self, connDone: Any = Failure(CONNECTION_DONE)) -> Any:  # noqa: N802, N803, B008
@@ -96,7 +96,7 @@
             self._accept(BACKLOG, MAX_ACCEPT_ERRORS_AT_CLOSE)
         cast(Any, super()).connectionLost(reason)
 
-    def _accept(self, max_clients: int, max_errors: int) -> Remedy:
+    def _accept(self, max_clients: int, max_errors: int) -> AcceptAction:
         """Accept up to ``max_clients`` connections.
 
         Return ``NOTHING_THERE`` if the queue is empty, ``SOON`` if a shortage lasted for ``max_errors`` failing calls,
@@ -107,18 +107,18 @@
             try:
                 sock, address = self.socket.accept()
             except OSError as error:
-                remedy = self._errors.remedy(error.errno or 0)
-                if remedy is Remedy.NOTHING_THERE:
-                    return remedy
+                action = self._errors.action(error.errno or 0)
+                if action is AcceptAction.NO_CONNECTION:
+                    return action
                 max_errors -= 1
-                if remedy is Remedy.SOON and max_errors <= 0:
-                    return remedy
+                if action is AcceptAction.RETRY_LATER and max_errors <= 0:
+                    return action
                 continue
             self._errors.succeeded()
             self._pauses = 0
             accepted += 1
             self._open_connection(sock, address)
-        return Remedy.AT_ONCE
+        return AcceptAction.RETRY_NOW
 
     def _open_connection(self, sock: socket.socket, address: Any) -> None:
         try:
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -135,7 +135,7 @@
             # Guards against a request that is read in the last moment and sent on: nobody would answer it. Later, as
             # its agent does not hold the transaction yet.
             self.later(0, lambda: transaction.refuse(0))
-        elif ask.standing_at:
+        elif ask.previous_server:
             self._resume(transaction)
         else:
             self.post(
@@ -158,7 +158,7 @@
         transaction = Transaction(self, f"t{self._numbered}", ask, agent)
         self.transactions[transaction.handle] = transaction
         if self.trace is not None:
-            self.trace.takes(self.now(), transaction.handle, msgspec.structs.replace(ask, standing_at=server))
+            self.trace.takes(self.now(), transaction.handle, msgspec.structs.replace(ask, previous_server=server))
         transaction.resumed(server)
         self.post(
             api.OpenConnection(
@@ -226,7 +226,7 @@
 
     def _resume(self, transaction: Transaction) -> None:
         """Connect to where a connection stood before the start; no decision is due for that."""
-        server = transaction.request.standing_at
+        server = transaction.request.previous_server
         if address := self.addresses.get(server):
             transaction.send(server, address, 0)
         else:
--- a/scaledeal/net/health_probe.py
+++ b/scaledeal/net/health_probe.py
@@ -1,4 +1,4 @@
-"""Health probes: one connection to each application server, kept while probes follow one another."""
+"""Health probes: one connection to each application server, kept open between probes."""
 
 from __future__ import annotations
 
@@ -7,100 +7,106 @@
 from scaledeal import interface as api
 from scaledeal.net import wording
 from scaledeal.net.app_server import AppServerLink, dial
-from scaledeal.net.attempt import SECOND, AttemptContext
+from scaledeal.net.attempt import NS_PER_S, AttemptContext
 from scaledeal.net.ports import Timer
 
-PATIENCE = 0.5  # seconds that a probe may take
+PROBE_TIMEOUT_S = 0.5
 
-Report = Callable[[api.ProbeResult], None]
+ResultCallback = Callable[[api.ProbeResult], None]
 
 
 class HealthProbe:
     """Probes one application server; owns the connection and its one timer."""
 
     def __init__(
-        self, context: AttemptContext, server: str, idle: float, tell: Report, over: Callable[[str], None]
+        self,
+        context: AttemptContext,
+        server: str,
+        idle: float,
+        report_result: ResultCallback,
+        on_idle_closed: Callable[[str], None],
     ) -> None:
+        """``idle`` is the time in seconds after which an unused connection is closed."""
         self.context = context
         self.server = server
         self.idle = idle
-        self.tell = tell
-        self.over = over
+        self.report_result = report_result
+        self.on_idle_closed = on_idle_closed
         self.address = ""
         self.link: AppServerLink | None = None  # the connection in use
-        self.began = 0  # when the probe that is out was sent, 0 if none is
+        self.probe_began = 0  # when the unanswered probe began, in ns; 0 if there is none
         self.timer: Timer | None = None
 
     def probe(self, address: str) -> None:
-        """Probe once."""
-        if self.began:
+        """Begin a probe, unless the last one is still unanswered."""
+        if self.probe_began:
             return
-        self.began = self.context.now()
+        self.probe_began = self.context.now()
         if self.link is not None and address != self.address:
-            self._drop()
-        self._set_timer(PATIENCE, self._too_late)
+            self._abandon_link()
+        self._set_timer(PROBE_TIMEOUT_S, self._timed_out)
         if self.link is not None:
             self.link.send(wording.STATS)
             return
         self.address = address
         self.link = AppServerLink(self.context.reactor, self.context.pool, self)
-        dial(self.link, address, self.context.dial_timeout / SECOND)
+        dial(self.link, address, self.context.dial_timeout / NS_PER_S)
 
     def link_up(self) -> None:
         """Send the probe."""
-        if self.link is not None and self.began:
+        if self.link is not None and self.probe_began:
             self.link.send(wording.STATS)
         elif self.link is not None:
-            self._drop()
+            self._abandon_link()
 
-    def connect_failed(self, ours: bool) -> None:
-        """Report that no connection came up."""
+    def connect_failed(self, local: bool) -> None:
+        """Report that no connection was established."""
         self.link = None
-        self._result(api.Result.NOT_SENT if ours else api.Result.CONNECT_FAILED)
+        self._finish_probe(api.Result.NOT_SENT if local else api.Result.CONNECT_FAILED)
 
-    def line_came(self, line: bytes) -> None:
+    def line_received(self, line: bytes) -> None:
         """Read the answer."""
         if wording.first_word(line) == wording.PONG:
-            self._result(api.Result.OK, self.context.read_report(line))
+            self._finish_probe(api.Result.OK, self.context.read_report(line))
         else:
-            self._result(api.Result.ERROR)
+            self._finish_probe(api.Result.ERROR)
 
     def link_lost(self, broke: bool) -> None:
-        """Report that the connection went, if an answer was due."""
+        """Report the loss of the connection if a probe was unanswered."""
         self.link = None
-        self._result(api.Result.RESET)
+        self._finish_probe(api.Result.RESET)
 
-    def _too_late(self) -> None:
+    def _timed_out(self) -> None:
         self.timer = None
-        self._result(api.Result.TIMEOUT)
-        self._drop()
+        self._finish_probe(api.Result.TIMEOUT)
+        self._abandon_link()
 
-    def _unused(self) -> None:
+    def _close_idle(self) -> None:
         self.timer = None
-        self._drop()
-        self.over(self.server)
+        self._abandon_link()
+        self.on_idle_closed(self.server)
 
-    def give_back(self) -> bool:
-        """Close the connection if no answer is due on it, and tell whether there was such a one."""
-        if self.link is None or self.began:
+    def close_if_idle(self) -> bool:
+        """Close the connection if there is one without an unanswered probe; return whether it was closed."""
+        if self.link is None or self.probe_began:
             return False
         self._stop_timer()
-        self._unused()
+        self._close_idle()
         return True
 
-    def _drop(self) -> None:
-        """Close the connection; nothing more of it is heard."""
+    def _abandon_link(self) -> None:
+        """Close the connection and ignore its further events."""
         link, self.link = self.link, None
         if link is not None:
-            link.owner = _Nobody(link)
+            link.owner = _AbandonedLinkOwner(link)
             link.reset()
 
-    def _result(self, result: api.Result, report: tuple[float, ...] = ()) -> None:
-        if not self.began:
+    def _finish_probe(self, result: api.Result, report: tuple[float, ...] = ()) -> None:
+        if not self.probe_began:
             return
-        elapsed, self.began = self.context.now() - self.began, 0
-        self._set_timer(self.idle, self._unused)
-        self.tell(api.ProbeResult(self.server, result, elapsed, report))
+        elapsed, self.probe_began = self.context.now() - self.probe_began, 0
+        self._set_timer(self.idle, self._close_idle)
+        self.report_result(api.ProbeResult(self.server, result, elapsed, report))
 
     def _set_timer(self, delay: float, call: Callable[[], None]) -> None:
         self._stop_timer()
@@ -112,8 +118,8 @@
         self.timer = None
 
 
-class _Nobody:
-    """Owns a connection that was given up: one that comes up all the same is closed."""
+class _AbandonedLinkOwner:
+    """Owns an abandoned connection: closes it if it is established later, and ignores its other events."""
 
     def __init__(self, link: AppServerLink) -> None:
         self.link = link
@@ -121,49 +127,55 @@
     def link_up(self) -> None:
         self.link.reset()
 
-    def connect_failed(self, ours: bool) -> None:
-        """Nothing."""
+    def connect_failed(self, local: bool) -> None:
+        """Do nothing."""
 
-    def line_came(self, line: bytes) -> None:
-        """Nothing."""
+    def line_received(self, line: bytes) -> None:
+        """Do nothing."""
 
     def link_lost(self, broke: bool) -> None:
-        """Nothing."""
+        """Do nothing."""
 
 
 class HealthProbes:
     """The health probes of all application servers."""
 
     def __init__(
-        self, context: AttemptContext, idle: int, tell: Report, room: Callable[[], int] = lambda: 1 << 20
+        self,
+        context: AttemptContext,
+        idle: int,
+        report_result: ResultCallback,
+        allowance: Callable[[], int] = lambda: 1 << 20,
     ) -> None:
-        """``room`` tells how many connections may be held for probes now."""
+        """``idle`` is in nanoseconds; ``allowance`` returns how many connections probes may hold now."""
         self.context = context
-        self.idle = idle / SECOND
-        self.tell = tell
-        self.room = room
-        self.probes: dict[str, HealthProbe] = {}  # the one that was used last stands last
+        self.idle = idle / NS_PER_S
+        self.report_result = report_result
+        self.allowance = allowance
+        self.probes: dict[str, HealthProbe] = {}  # the least recently used first
 
     def probe(self, server: str, address: str) -> None:
-        """Probe once; exactly one result is reported."""
-        probe = self.probes.pop(server, None) or HealthProbe(self.context, server, self.idle, self.tell, self.forget)
+        """Send one probe; exactly one result is reported."""
+        probe = self.probes.pop(server, None) or HealthProbe(
+            self.context, server, self.idle, self.report_result, self.forget
+        )
         self.probes[server] = probe
         if probe.link is None:
-            self.give_back(self.room() - 1)
+            self.close_idle(self.allowance() - 1)
         probe.probe(address)
 
-    def held(self) -> int:
-        """Return how many connections are held."""
+    def connection_count(self) -> int:
+        """Return how many connections probes hold."""
         return sum(each.link is not None for each in self.probes.values())
 
-    def give_back(self, most: int) -> None:
-        """Close connections on which no answer is due, the longest unused first, until at most so many are held."""
-        over = self.held() - most
+    def close_idle(self, max_connections: int) -> None:
+        """Close idle connections, the least recently used first, until at most ``max_connections`` are held."""
+        excess = self.connection_count() - max_connections
         for each in list(self.probes.values()):
-            if over <= 0:
+            if excess <= 0:
                 break
-            over -= each.give_back()
+            excess -= each.close_if_idle()
 
     def forget(self, server: str) -> None:
-        """Drop what was kept for a server that is no longer probed."""
+        """Remove the probe of a server that is no longer probed."""
         self.probes.pop(server, None)
--- a/scaledeal/net/patient_sockets.py
+++ b/scaledeal/net/patient_sockets.py
@@ -13,7 +13,7 @@
 from twisted.internet import tcp
 from twisted.internet.main import CONNECTION_LOST
 
-from scaledeal.net.socket_errors import may_be_tried_again
+from scaledeal.net.socket_errors import is_transient
 
 TRIES = 8  # tries of a socket option
 
@@ -27,7 +27,7 @@
         try:
             data = mine.socket.recv(mine.bufferSize)
         except OSError as error:
-            return None if may_be_tried_again(error.errno) else CONNECTION_LOST
+            return None if is_transient(error.errno) else CONNECTION_LOST
         return mine._dataReceived(data)
 
     def writeSomeData(self, data: bytes) -> Any:  # noqa: N802
@@ -36,7 +36,7 @@
         try:
             return mine.socket.send(memoryview(data)[: mine.SEND_LIMIT])
         except OSError as error:
-            return 0 if may_be_tried_again(error.errno) else CONNECTION_LOST
+            return 0 if is_transient(error.errno) else CONNECTION_LOST
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
         """Send short lines at once; where the system has no memory for that now, they may wait, and are not lost."""
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -86,7 +86,7 @@
         self.driver.prober = probes = HealthProbes(
             context, int(document.caps.idle_close), self.driver.post, admission.probe_allowance
         )
-        admission.probe_connections, admission.limit_probes = probes.held, probes.give_back
+        admission.probe_connections, admission.limit_probes = probes.connection_count, probes.close_idle
         self.door = ClientFactory(
             ClientContext(
                 context,
--- a/scaledeal/net/sides.py
+++ b/scaledeal/net/sides.py
@@ -20,7 +20,7 @@
     tenant: int = 0
     returning: bool = False
     load_hint: float = 0.0  # microseconds of work a second
-    standing_at: str = ""  # the application server of a connection that was established before the start
+    previous_server: str = ""  # the application server of a connection that was established before the start
     request_id: str = ""  # the id that the client gave it, for traces and invariant reports
 
 
@@ -58,22 +58,22 @@
 class Attempt(Protocol):
     """One attempt at an application server."""
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Cancel the attempt, if its connection is not established yet."""
 
     def withdraw(self, result: api.Result = api.Result.CONNECT_FAILED) -> None:
         """Cancel what is not sent yet: the application server takes nothing new, or the client has left."""
 
-    def leave(self, broke: bool) -> None:
+    def client_left(self, broke: bool) -> None:
         """Close an established connection: the user agent's side has ended, in order unless ``broke``."""
 
     def client_ended_sending(self) -> None:
         """End the sending on an established connection, as the client did."""
 
-    def silent_since(self) -> int:
+    def unanswered_since(self) -> int:
         """Return since when a message has waited for its answer, in ns on the driver's clock; 0 if none waits."""
 
-    def break_off(self) -> None:
+    def close_as_broken(self) -> None:
         """Close a connection that returns nothing, and treat it as broken."""
 
 
--- a/scaledeal/net/socket_errors.py
+++ b/scaledeal/net/socket_errors.py
@@ -1,6 +1,7 @@
-"""What the documented errors of socket calls mean here: the one table of them (accept(2), socket(2), connect(2)).
+"""What the documented errors of socket calls mean for a relay, in one table (accept(2), socket(2), connect(2)).
 
-``docs/architecture.md`` tells what each does to a request. An error that is not in the table is the connection's.
+``docs/architecture.md`` says what each error does to a request. An accept error that is not in the table is attributed
+to the one connection that was being accepted.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 log = logging.getLogger("scaledeal.sockets")
 
 
-class Remedy(Enum):
-    """What is done about a call that failed."""
+class AcceptAction(Enum):
+    """What to do after a call of ``accept`` that failed."""
 
-    NOTHING_THERE = "nothing there"  # no connection waits
-    AT_ONCE = "again at once"  # the error is that of one connection that is gone, or of a signal
-    SOON = "again soon"  # the process or the machine is short of something: what waits, waits in the queue
+    NO_CONNECTION = "no connection"  # no connection waits in the queue
+    RETRY_NOW = "retry now"  # one connection is gone, or a signal interrupted the call
+    RETRY_LATER = "retry later"  # the process or the machine lacks a resource; connections wait in the queue
 
 
 NETWORK_ERRORS = frozenset(
@@ -35,49 +36,49 @@
     )
 )
 SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-OWN_CONNECT_ERRORS = SHORTAGES | {errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EACCES, errno.EPERM}
-
-_ACCEPT = {
-    errno.EAGAIN: Remedy.NOTHING_THERE,
-    errno.EWOULDBLOCK: Remedy.NOTHING_THERE,
-    errno.EINTR: Remedy.AT_ONCE,
-    errno.ECONNABORTED: Remedy.AT_ONCE,
-    errno.EPERM: Remedy.AT_ONCE,
-    **dict.fromkeys(NETWORK_ERRORS, Remedy.AT_ONCE),
-    **dict.fromkeys(SHORTAGES, Remedy.SOON),
+LOCAL_CONNECT_ERRORS = SHORTAGES | {errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EACCES, errno.EPERM}
+
+_ACCEPT_ACTIONS = {
+    errno.EAGAIN: AcceptAction.NO_CONNECTION,
+    errno.EWOULDBLOCK: AcceptAction.NO_CONNECTION,
+    errno.EINTR: AcceptAction.RETRY_NOW,
+    errno.ECONNABORTED: AcceptAction.RETRY_NOW,
+    errno.EPERM: AcceptAction.RETRY_NOW,
+    **dict.fromkeys(NETWORK_ERRORS, AcceptAction.RETRY_NOW),
+    **dict.fromkeys(SHORTAGES, AcceptAction.RETRY_LATER),
 }
 
 
 class AcceptErrors:
-    """Says what to do about an error of ``accept``, and logs the first of each row."""
+    """Chooses the action for an error of ``accept``, and logs the first error of each series of equal ones."""
 
     def __init__(self) -> None:
-        self.last = 0  # the errno of the row that runs, 0 after a call that succeeded
+        self.last_errno = 0  # of the current series; 0 after a successful call
 
     def succeeded(self) -> None:
-        """Hear that a call succeeded."""
-        self.last = 0
-
-    def remedy(self, number: int) -> Remedy:
-        """Return what to do about this errno."""
-        known = _ACCEPT.get(number)
-        if known is not Remedy.NOTHING_THERE and number != self.last:
-            self.last = number
+        """Record a successful call, which ends a series of errors."""
+        self.last_errno = 0
+
+    def action(self, number: int) -> AcceptAction:
+        """Return what to do about the errno ``number``."""
+        known = _ACCEPT_ACTIONS.get(number)
+        if known is not AcceptAction.NO_CONNECTION and number != self.last_errno:
+            self.last_errno = number
             name = errno.errorcode.get(number, str(number))
             if known is None:
-                log.warning("accept failed with %s, which is not documented: taken for the connection's", name)
-            elif known is Remedy.SOON:
-                log.warning("accept failed with %s: new connections wait in the queue", name)
+                log.warning("accept failed with %s, which is not documented; attributed to one connection", name)
+            elif known is AcceptAction.RETRY_LATER:
+                log.warning("accept failed with %s; new connections wait in the queue", name)
             else:
-                log.debug("accept failed with %s: tried again", name)
-        return known or Remedy.AT_ONCE
+                log.debug("accept failed with %s; retrying", name)
+        return known or AcceptAction.RETRY_NOW
 
 
-def may_be_tried_again(number: int | None) -> bool:
-    """Tell whether a read or write that failed with this errno leaves the connection as it was."""
+def is_transient(number: int | None) -> bool:
+    """Return whether a read or write that failed with this errno leaves the connection intact."""
     return number in SHORTAGES or number in (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 
 
-def is_own_fault(number: int | None) -> bool:
-    """Tell whether a connect failed with this errno for want of something here, which says nothing of the server."""
-    return number in OWN_CONNECT_ERRORS
+def is_local_failure(number: int | None) -> bool:
+    """Return whether a connect with this errno failed for local reasons, which say nothing about the server."""
+    return number in LOCAL_CONNECT_ERRORS
--- a/scaledeal/net/trace.py
+++ b/scaledeal/net/trace.py
@@ -99,7 +99,7 @@
             group=ask.group,
             cls=ask.request_class,
             again=ask.returning,
-            server=ask.standing_at,
+            server=ask.previous_server,
         )
 
     def over(self, now: int, request: str, client: str, server: str, why: str) -> None:
--- a/scaledeal/net/transaction.py
+++ b/scaledeal/net/transaction.py
@@ -78,7 +78,7 @@
         self.agent = agent
         self.state = State.WAITING
         self.owed = host.guard.open(
-            request.request_id or handle, request.request_class, request.deadline, bool(request.standing_at)
+            request.request_id or handle, request.request_class, request.deadline, bool(request.previous_server)
         )
         self.attempts = 0
         self.current: Attempt | None = None
@@ -125,7 +125,7 @@
     def cancel(self, number: int) -> None:
         """Cancel the attempt of this number, if it is the current one and its connection is not established."""
         if self.current is not None and number == self.attempts - 1 and self.state is not State.ESTABLISHED:
-            self.current.give_up()
+            self.current.cancel()
 
     def move(self, cause: EndCause = EndCause.MOVED) -> None:
         """End an established connection in order: the client is told to reconnect."""
@@ -133,7 +133,7 @@
             self.state = State.OVER
             self.host.ended(self, cause)
             self.agent.move()
-            self.current.leave(False)
+            self.current.client_left(False)
 
     def move_unrequested(self) -> None:
         """Move the client of an established connection without an action of the decision module."""
@@ -189,7 +189,7 @@
         self.host.guard.answered(self.owed)
         self._stop_timer()
         request = self.request
-        if request.standing_at:
+        if request.previous_server:
             self.host.post(
                 api.OpenConnection(
                     self.handle,
@@ -225,7 +225,7 @@
 
     def check_silence(self, now: int) -> None:
         """Report an established connection that returns nothing; close it after ``SILENT_TIMEOUT_NS``."""
-        since = self.current.silent_since() if self.current is not None else 0
+        since = self.current.unanswered_since() if self.current is not None else 0
         if not since or self.current is None:
             return
         self.host.guard.silent(self.owed, now - since)
@@ -234,7 +234,7 @@
             self.host.late(self, now - since, True)
         if now - since >= SILENT_TIMEOUT_NS:
             self.host.silent(self)
-            self.current.break_off()
+            self.current.close_as_broken()
         elif now - since >= UNANSWERED_REPORT_NS and not self.host.delays.answered_since(self.server, since):
             self._report_delay(now - since)
         elif now - since >= SILENT_REPORT_NS and self.silence_reported != since:
@@ -258,7 +258,7 @@
             self.host.ended(self, EndCause.SERVER_BROKE if result is api.Result.RESET else EndCause.SERVER_ENDED)
             self._stop_timer()
             self.agent.ended(broke)
-        elif self.request.standing_at and self.state is State.WAITING:
+        elif self.request.previous_server and self.state is State.WAITING:
             self.fail()
             return
         self._outcome(self.attempts - 1, result, report)
@@ -271,13 +271,13 @@
             self.state = State.OVER
             self.host.ended(self, EndCause.CLIENT_LEFT)
             if self.current is not None:
-                self.current.leave(broke)
+                self.current.client_left(broke)
         elif self.state is State.WAITING:
             self.state = State.OVER
             self.host.guard.client_left(self.owed)
             self.host.ended(self, EndCause.CLIENT_LEFT)
             self._stop_timer()
-            if self.request.standing_at:
+            if self.request.previous_server:
                 self.cancel(self.attempts - 1)
             elif self.current is not None:
                 # Nothing may be sent once the client has left; withdrawing an unsent attempt needs no module action.
@@ -308,7 +308,7 @@
         self.host.ended(self, cause)
         self._stop_timer()
         if self.current is not None:
-            self.current.give_up()
+            self.current.cancel()
         self._forget_if_over()
         return True
 
--- a/scaledeal/net/user_agent.py
+++ b/scaledeal/net/user_agent.py
@@ -9,7 +9,7 @@
 
 from scaledeal.net import wording
 from scaledeal.net.admission import Admission
-from scaledeal.net.attempt import SECOND, AttemptContext, LineAttempt
+from scaledeal.net.attempt import NS_PER_S, AttemptContext, LineAttempt
 from scaledeal.net.lines import LineLink
 from scaledeal.net.sides import Agent, AttemptEvents, ClientRequest, PausedConnection, ResumableSession, SessionOpener
 from scaledeal.net.transaction import Transaction
@@ -70,7 +70,7 @@
         tenant=tenant,
         returning=read.get("again") == "1",
         load_hint=wording.number_or_zero(read.get("h")) / 1000,  # ``h`` is in nanoseconds a second, as in the simulator
-        standing_at=read.get("at"),
+        previous_server=read.get("at"),
         request_id=read.id,
     )
 
@@ -102,7 +102,7 @@
         """Handle a line of the client."""
         if self.stage is Stage.ESTABLISHED and self.current is not None:
             if self.session is None or self.session.from_client(line):
-                self.current.message(line)
+                self.current.send_message(line)
             else:
                 self._cut()
         elif self.stage is Stage.FIRST_LINE:
@@ -202,7 +202,7 @@
 
     def _ping(self) -> None:
         now = self.client_context.attempt_context.now()
-        if now - self.pings_since > FIRST_LINE_TIMEOUT_S * SECOND:
+        if now - self.pings_since > FIRST_LINE_TIMEOUT_S * NS_PER_S:
             self.pings_since, self.pings = now, 0
         self.pings += 1
         if self.pings > MAX_PINGS:
@@ -304,14 +304,14 @@
             current.link.pause_for_handover(),
         )
         line = read.with_wait(int(read.get("d")) * wording.MS)
-        state = wording.HandoverState(line, current.asked_at, from_client, from_server)
+        state = wording.HandoverState(line, current.oldest_unanswered_at, from_client, from_server)
         return PausedConnection((client_fd, server_fd), msgspec.json.encode(state))
 
     def release(self) -> None:
         """Close this process's descriptors of the handed-over connection, without ending it."""
         self._detach_transaction()
         if self.current is not None:
-            self.current.let_go()
+            self.current.release()
         super().release()
         self.client_context.admission.request_ended()
 
@@ -331,7 +331,7 @@
 
     # Methods that the attempt calls (attempt.Peer)
 
-    def stands(self, link: LineLink, line: bytes) -> bool:
+    def established(self, link: LineLink, line: bytes) -> bool:
         """Pass on the answer and relay lines both ways from here on; return False if the client has left."""
         if self.stage is not Stage.REQUESTED:
             return False
--- a/scaledeal/quic/sockets/agent.py
+++ b/scaledeal/quic/sockets/agent.py
@@ -58,7 +58,7 @@
 
     # Called by the transaction
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Cancel the attempt before it is established."""
         self.abort(api.Result.CANCELLED)
 
@@ -70,7 +70,7 @@
         if not self.established:
             self.side.router.stop_sending(self.flow)
 
-    def leave(self, broke: bool) -> None:
+    def client_left(self, broke: bool) -> None:
         """End the attempt after the user agent's side has ended."""
         if not self.ended:
             self._end(api.Result.CANCELLED)
@@ -78,12 +78,12 @@
     def client_ended_sending(self) -> None:
         """Do nothing: half-closed QUIC streams concern the endpoints only."""
 
-    def silent_since(self) -> int:
+    def unanswered_since(self) -> int:
         """Return 0: encryption hides which messages wait for an answer."""
         return 0
 
-    def break_off(self) -> None:
-        """Do nothing; never called, as ``silent_since`` is always 0."""
+    def close_as_broken(self) -> None:
+        """Do nothing; never called, as ``unanswered_since`` is always 0."""
 
     # Internals
 
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -17,7 +17,7 @@
 from scaledeal import interface as api
 from scaledeal.net import config
 from scaledeal.net.admission import Admission
-from scaledeal.net.app_server import _Dial
+from scaledeal.net.app_server import _LinkFactory
 from scaledeal.net.attempt import AttemptContext, LineAttempt
 from scaledeal.net.buffers import BufferPool
 from scaledeal.net.client_listener import ClientFactory
@@ -238,7 +238,10 @@
         )
         self.admission = Admission(self.reactor, 256, self.driver.now)
         self.probes = HealthProbes(context, 5000 * MS, self.driver.post, self.admission.probe_allowance)
-        self.admission.probe_connections, self.admission.limit_probes = self.probes.held, self.probes.give_back
+        self.admission.probe_connections, self.admission.limit_probes = (
+            self.probes.connection_count,
+            self.probes.close_idle,
+        )
         self.driver.prober = self.probes
         self.service = Service(self.driver)
         self.client_context = ClientContext(
@@ -348,7 +351,7 @@
         return [
             dialled
             for dialled in self.reactor.dialled
-            if isinstance(dialled.factory, _Dial) and isinstance(dialled.factory.link.owner, LineAttempt)
+            if isinstance(dialled.factory, _LinkFactory) and isinstance(dialled.factory.link.owner, LineAttempt)
         ]
 
     def probes(self) -> list[Any]:
@@ -356,7 +359,7 @@
         return [
             dialled
             for dialled in self.reactor.dialled
-            if isinstance(dialled.factory, _Dial) and isinstance(dialled.factory.link.owner, HealthProbe)
+            if isinstance(dialled.factory, _LinkFactory) and isinstance(dialled.factory.link.owner, HealthProbe)
         ]
 
     def results(self) -> list[str]:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -18,7 +18,7 @@
 from scaledeal.lab.soak.shim import Call
 from scaledeal.net import config
 from scaledeal.net.monotonic_reactor import MonotonicReactor
-from scaledeal.net.socket_errors import AcceptErrors, Remedy, is_own_fault
+from scaledeal.net.socket_errors import AcceptAction, AcceptErrors, is_local_failure
 
 FAILING = 0.4  # share of calls
 
@@ -89,14 +89,16 @@
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_a_shortage_leaves_connections_in_the_queue(number: int) -> None:
-    assert AcceptErrors().remedy(number) is Remedy.SOON and is_own_fault(number)
+    assert AcceptErrors().action(number) is AcceptAction.RETRY_LATER and is_local_failure(number)
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EINTR, errno.ENONET, 9999])
 def test_an_error_of_one_connection_is_no_reason_to_wait(number: int, caplog: pytest.LogCaptureFixture) -> None:
     errors = AcceptErrors()
-    assert errors.remedy(number) is errors.remedy(number) is Remedy.AT_ONCE
-    assert ("9999, which is not documented" in caplog.text) == (number == 9999) and not is_own_fault(errno.ECONNREFUSED)
+    assert errors.action(number) is errors.action(number) is AcceptAction.RETRY_NOW
+    assert ("9999, which is not documented" in caplog.text) == (number == 9999) and not is_local_failure(
+        errno.ECONNREFUSED
+    )
 
 
 def test_a_pause_ends_with_the_listening() -> None:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -624,7 +624,7 @@
         bench.reactor.dialled[-1].up(bench.reactor).receive(b"PONG\r\n")
         bench.reactor.advance(0)
     held = [wire for wire in bench.wires() if not wire.lost]
-    assert len(held) == bench.probes.held() <= RESERVED_FOR_PROBES + (256 - RESERVED_DESCRIPTORS) // 2
+    assert len(held) == bench.probes.connection_count() <= RESERVED_FOR_PROBES + (256 - RESERVED_DESCRIPTORS) // 2
     clients = 0
     while (client := bench.connect()) is not None:
         clients += 1
@@ -634,4 +634,4 @@
             f"{clients} clients, each with its attempt"
         )
     assert clients == (256 - RESERVED_DESCRIPTORS) // 2, "fewer or more clients than there is room for"
-    assert bench.probes.held() <= RESERVED_FOR_PROBES, "idle probes were kept at the cost of clients"
+    assert bench.probes.connection_count() <= RESERVED_FOR_PROBES, "idle probes were kept at the cost of clients"
