--- a/scaledeal/net/carry.py
+++ b/scaledeal/net/carry.py
@@ -44,7 +44,7 @@
             return
         self._timer = self.driver.later(STEP, self.round)
         handed = 0
-        for transaction in self.driver.standing():
+        for transaction in self.driver.established():
             if handed < AT_ONCE and (carried := transaction.hand_over()):
                 handed += 1
                 self.out[transaction.handle] = transaction
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -1,6 +1,6 @@
-"""Plays the decision module on a real clock: events in, actions out, and no decision of its own.
+"""Runs the decision module on a real clock: feeds it events and carries out its actions, without own decisions.
 
-It knows transactions, application servers and times, and nothing of the lines that carry them.
+The driver deals with transactions, application servers and times; it does not know the protocols that carry them.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 
 log = logging.getLogger("scaledeal.driver")
 
-GRACE = 1_000_000_000  # ns within which sends to a draining server stop, where nothing is said of it
-LOOK = 100_000_000  # ns between two looks at the connections that stand
+DEFAULT_DRAIN_GRACE_NS = 1_000_000_000  # time in which sends to a draining server stop, unless the settings name one
+CONNECTION_CHECK_INTERVAL_NS = 100_000_000
 
 
 class Driver:
@@ -43,29 +43,29 @@
         seed: int,
         figures: Figures,
         clock: Callable[[], int] = time.monotonic_ns,
-        drain_grace: int = GRACE,
+        drain_grace: int = DEFAULT_DRAIN_GRACE_NS,
     ) -> None:
         self.reactor = reactor
         self.clock = clock
         self.balancer = Balancer(settings, seed)
         self.transactions: dict[str, Transaction] = {}
-        self.addresses: dict[str, str] = {}  # where each application server was last said to be
+        self.addresses: dict[str, str] = {}  # the last valid address listed for each application server
         self.delays = Delays(tuple(each.message_aim for each in settings.classes), self.now)
         self.load_lines = LoadLines(self.delays.threshold / 1e6, self.now)
         self.load_reports = LoadReports(settings)
         self.figures = figures
         self.invariants = Invariants(self.now)
         self.guard = RequestGuard(settings, drain_grace, self.now, self.invariants)
-        self.draining = False  # whatever comes up is moved at once
-        self.leaving = False  # whatever is asked for is refused: the process is about to go
+        self.draining = False  # each connection is moved as soon as it is established
+        self.stopping = False  # each new request is refused: the process is about to exit
         self.prober: Prober | None = None
         self.watch: Callable[[], None] = lambda: None
         self.trace: Trace | None = None
-        self._numbered = 0
+        self._transaction_count = 0
         self._events: deque[api.Event] = deque()
-        self._busy = False
-        self._parked: list[Transaction] = []  # standing at servers that no list has named yet
-        self._carry_out: dict[type, Callable[[Any], None]] = {
+        self._handling_events = False
+        self._unlisted: list[Transaction] = []  # their previous servers are in no list received so far
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             api.Send: self._send,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
@@ -80,177 +80,186 @@
     # The clock
 
     def now(self) -> int:
-        """Return the time."""
+        """Return the time in nanoseconds."""
         return self.clock()
 
     def later(self, delay: int, call: Callable[[], None]) -> Timer:
-        """Call after so many nanoseconds."""
+        """Call ``call`` after ``delay`` nanoseconds."""
         return self.reactor.callLater(delay / 1e9, call)
 
     # Events
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the decision module and carry out what it wants done.
+        """Post an event to the decision module and carry out its actions.
 
-        Guards against an action whose own events would reach the module in the middle of its others.
+        An event that an action causes waits in a queue: the module gets it after all actions of the event before.
         """
         if isinstance(event, (api.Outcome, api.ProbeResult)):
             event = self.load_reports.checked(event)
         self._events.append(event)
-        if self._busy:
+        if self._handling_events:
             return
-        self._busy = True
+        self._handling_events = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._busy = False
+            self._handling_events = False
 
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self.balancer.handle(self.now(), event)
-        except Exception:  # one event's failure must not end the process: what is owed is still answered
+        except Exception:  # the process goes on: its requests still get their answers
             log.exception("decision module failed on %s", type(event).__name__)
             if isinstance(event, api.Timer):
                 self.later(250_000_000, lambda: self.post(event))
             return
         if self.trace is not None:
-            self.trace.handled(self.now(), event, actions, self.balancer)
+            self.trace.event_handled(self.now(), event, actions, self.balancer)
         for action in actions:
             try:
-                self._carry_out[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
 
     # Transactions
 
-    def take(self, ask: ClientRequest, agent: Agent) -> Transaction:
-        """Take a user agent's request."""
-        self._numbered += 1
-        transaction = Transaction(self, f"t{self._numbered}", ask, agent)
+    def begin_transaction(self, request: ClientRequest, agent: Agent) -> Transaction:
+        """Begin the transaction of a user agent's request."""
+        self._transaction_count += 1
+        transaction = Transaction(self, f"t{self._transaction_count}", request, agent)
         self.transactions[transaction.handle] = transaction
         if self.trace is not None:
-            self.trace.takes(self.now(), transaction.handle, ask)
-        if self.leaving:
-            # Guards against a request that is read in the last moment and sent on: nobody would answer it. Later, as
-            # its agent does not hold the transaction yet.
+            self.trace.request_received(self.now(), transaction.handle, request)
+        if self.stopping:
+            # A request that is sent on just before the exit would stay unanswered. The refusal is deferred, as the
+            # agent refers to the transaction only after this method has returned.
             self.later(0, lambda: transaction.refuse(0))
-        elif ask.previous_server:
-            self._resume(transaction)
+        elif request.previous_server:
+            self._connect_to_previous_server(transaction)
         else:
             self.post(
                 api.Request(
                     transaction.handle,
-                    ask.request_class,
-                    ask.deadline,
-                    ask.key,
-                    ask.group,
-                    ask.tenant,
-                    returning=ask.returning,
-                    load_hint=ask.load_hint,
+                    request.request_class,
+                    request.deadline,
+                    request.key,
+                    request.group,
+                    request.tenant,
+                    returning=request.returning,
+                    load_hint=request.load_hint,
                 )
             )
         return transaction
 
-    def resume(self, ask: ClientRequest, agent: Agent, server: str, load: float) -> Transaction:
-        """Take a connection that another process has brought up, and tell the module of it."""
-        self._numbered += 1
-        transaction = Transaction(self, f"t{self._numbered}", ask, agent)
+    def resume(self, request: ClientRequest, agent: Agent, server: str, load: float) -> Transaction:
+        """Begin the transaction of a connection that another process has set up, and report it to the module."""
+        self._transaction_count += 1
+        transaction = Transaction(self, f"t{self._transaction_count}", request, agent)
         self.transactions[transaction.handle] = transaction
         if self.trace is not None:
-            self.trace.takes(self.now(), transaction.handle, msgspec.structs.replace(ask, previous_server=server))
+            self.trace.request_received(
+                self.now(), transaction.handle, msgspec.structs.replace(request, previous_server=server)
+            )
         transaction.resumed(server)
         self.post(
             api.OpenConnection(
-                transaction.handle, ask.request_class, server, ask.key, ask.group, ask.tenant, inherited=True
+                transaction.handle,
+                request.request_class,
+                server,
+                request.key,
+                request.group,
+                request.tenant,
+                inherited=True,
             )
         )
         if load > 0:
-            # A connection's first LOAD is its load: that one has been.
+            # The first LOAD of a connection is its load; the other process has received that line.
             self.load_lines.loads[transaction.handle] = load
             transaction.note(api.NoteKind.LOAD, load)
         return transaction
 
-    def standing(self) -> list[Transaction]:
-        """Return the transactions whose connections stand."""
+    def established(self) -> list[Transaction]:
+        """Return the transactions whose connections are established."""
         return [each for each in self.transactions.values() if each.state is State.ESTABLISHED]
 
-    def levels(self) -> dict[str, int]:
-        """Return the figures that are no counts."""
+    def gauges(self) -> dict[str, int]:
+        """Return the present values of the metrics that are not counters."""
         listed, avoided = self.balancer.rotation_counts()
-        owed = sum(each.state is not State.OVER for each in self.transactions.values())
-        return {"open_requests": owed, "registry_entries": listed, "out_of_rotation": avoided}
+        open_requests = sum(each.state is not State.OVER for each in self.transactions.values())
+        return {"open_requests": open_requests, "registry_entries": listed, "out_of_rotation": avoided}
 
     def forget(self, transaction: Transaction) -> None:
-        """Take a transaction off the table."""
+        """Remove a transaction from the table."""
         self.transactions.pop(transaction.handle, None)
         self.load_lines.forget(transaction.handle)
 
     def ended(self, transaction: Transaction, cause: EndCause) -> None:
-        """Count why a request is over, and note it where decisions are written down."""
+        """Count the cause for which a transaction is over, and write it to the trace."""
         self.figures.ended[cause] += 1
         if self.trace is not None:
-            self.trace.over(
+            self.trace.request_ended(
                 self.now(), transaction.handle, transaction.request.request_id, transaction.server, cause.value
             )
 
-    def process_ends(self) -> None:
-        """Hear that the process is about to end: what still waits for its answer is a violation."""
+    def process_exiting(self) -> None:
+        """Report each request that still waits for its answer as a violation: the process is about to exit."""
         for transaction in self.transactions.values():
             if transaction.state is State.WAITING:
-                self.guard.process_ends(transaction.owed)
+                self.guard.process_exiting(transaction.guarded)
 
     def overdue(self, transaction: Transaction) -> None:
-        """Note that the decision module left a request unanswered."""
+        """Log that the decision module left a request unanswered."""
         log.warning(
-            "request of class %d answered at its deadline: the module held it", transaction.request.request_class
+            "request of class %d failed at its deadline: the decision module left it unanswered",
+            transaction.request.request_class,
         )
 
-    def late(self, transaction: Transaction, took: int, waits: bool) -> None:
-        """Note a message that its application server answers later than its class wants."""
+    def message_late(self, transaction: Transaction, duration: int, unanswered: bool) -> None:
+        """Trace a message delay of ``duration`` nanoseconds, above its class's aim; ``unanswered``: still waiting."""
         if self.trace is not None:
-            self.trace.late(self.now(), transaction.handle, transaction.server, took, waits)
+            self.trace.message_late(self.now(), transaction.handle, transaction.server, duration, unanswered)
 
-    def silent(self, transaction: Transaction) -> None:
-        """Note that an application server has returned nothing for too long."""
-        log.warning("server %s returns nothing on an open connection: broken off", transaction.server)
+    def server_silent(self, transaction: Transaction) -> None:
+        """Log that an application server has returned nothing on a connection for too long."""
+        log.warning("server %s returned nothing on an established connection; closing it", transaction.server)
 
-    def look_round(self) -> None:
-        """Look at every connection that stands: no timer is set for a single line."""
-        self.later(LOOK, self.look_round)
+    def check_connections(self) -> None:
+        """Check all established connections, now and regularly; this avoids a timer for each line."""
+        self.later(CONNECTION_CHECK_INTERVAL_NS, self.check_connections)
         for handle, load in self.load_lines.settle():
             self.transactions[handle].note(api.NoteKind.LOAD, load)
         now = self.now()
-        for transaction in self.standing():
+        for transaction in self.established():
             transaction.check_silence(now)
 
-    def _resume(self, transaction: Transaction) -> None:
-        """Connect to where a connection stood before the start; no decision is due for that."""
+    def _connect_to_previous_server(self, transaction: Transaction) -> None:
+        """Connect to the server of a connection established before the start, which needs no decision."""
         server = transaction.request.previous_server
         if address := self.addresses.get(server):
             transaction.send(server, address, 0)
         else:
-            self._parked.append(transaction)
+            self._unlisted.append(transaction)
 
     # The list of application servers
 
     def listed(self, event: api.Membership, addresses: dict[str, str]) -> None:
-        """Take news of the list."""
-        self.addresses.update(_sound(addresses))
+        """Handle a change of the server list; ``addresses`` are by server name."""
+        self.addresses.update(_valid_addresses(addresses))
         self.guard.listed(event)
         self.post(event)
         stopped = {e.server for e in event.servers if e.state is not api.ServerState.LIVE}
         if event.kind is api.MembershipKind.FULL:
             stopped |= self.addresses.keys() - {e.server for e in event.servers}
         if stopped:
-            # Guards against a connect that comes up, and is sent on, after the server was to get no more.
+            # A connect to such a server may still succeed, and the request would be sent after the server's drain.
             for transaction in list(self.transactions.values()):
                 if transaction.current is not None and transaction.server in stopped:
                     transaction.current.withdraw()
-        parked, self._parked = self._parked, []
-        for transaction in parked:
+        unlisted, self._unlisted = self._unlisted, []
+        for transaction in unlisted:
             if transaction.handle in self.transactions:
-                self._resume(transaction)
+                self._connect_to_previous_server(transaction)
 
     # Actions
 
@@ -285,13 +294,13 @@
         self.later(action.delay, lambda: self.post(api.Timer(action.token)))
 
 
-def _sound(addresses: dict[str, str]) -> dict[str, str]:
-    """Return the addresses that are some; of one that is none the last good one stays."""
-    sound = {}
-    for server, told in addresses.items():
+def _valid_addresses(addresses: dict[str, str]) -> dict[str, str]:
+    """Return the addresses that are valid; a server with an invalid one keeps its last valid address."""
+    valid = {}
+    for server, listed in addresses.items():
         try:
-            address(told, f"address of {server}")
-            sound[server] = told
+            address(listed, f"address of {server}")
+            valid[server] = listed
         except ConfigError as error:
-            log.warning("list not taken in full: %s", error)
-    return sound
+            log.warning("server list partly ignored: %s", error)
+    return valid
--- a/scaledeal/net/inherited.py
+++ b/scaledeal/net/inherited.py
@@ -37,7 +37,7 @@
             each.request.tenant,
             loads.get(each.handle, 0.0),
         )
-        for each in driver.standing()
+        for each in driver.established()
     }
 
 
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -93,7 +93,7 @@
                 classes,
                 tenants,
                 admission,
-                self.driver.take,
+                self.driver.begin_transaction,
                 lambda: self.service.stage not in (Stage.STARTING, Stage.LAME_DUCK),
             )
         )
@@ -132,7 +132,9 @@
             self.driver.trace = open_trace(self.config.trace, self.config.name, self.system.unix() - now)
         except OSError as error:
             raise told.ConfigError(f"PROXY_TRACE: {self.config.trace}: {error.strerror}") from None
-        self.driver.trace.begins(now, tuple(entry.name for entry in self.config.document.classes), self.config.settings)
+        self.driver.trace.relay_started(
+            now, tuple(entry.name for entry in self.config.document.classes), self.config.settings
+        )
 
     def start(self) -> None:
         """Take over from the process that serves, or listen; ``failure`` tells why it could not."""
@@ -147,7 +149,7 @@
             self._give_up(error)
             return
         self.clocks.start()
-        self.driver.look_round()
+        self.driver.check_connections()
         self.succession.begin()
 
     def _open(self, descriptor: int | None) -> None:
@@ -235,11 +237,11 @@
     def _figures(self) -> list[str]:
         sides = [line for side in self.sides for line in side.lines()]
         own = self.driver.invariants.lines() + self.clocks.lines()
-        return self.figures.lines(self.driver.levels()) + own + sides
+        return self.figures.lines(self.driver.gauges()) + own + sides
 
     def _told(self, yes: bool) -> str:
         stage = self.service.stage.name.lower().replace("_", " ")
-        return f"{'ok' if yes else 'fail'} {stage}, {len(self.driver.standing())} connections stand"
+        return f"{'ok' if yes else 'fail'} {stage}, {len(self.driver.established())} connections stand"
 
     def _watch(self) -> DiscoveryWatch:
         where = self.config.discovery
@@ -324,9 +326,9 @@
 
     def _leave_soon(self) -> None:
         """Take nothing new, refuse who is in the queue, and give all a moment to take their last answers."""
-        if self.driver.leaving:
+        if self.driver.stopping:
             return
-        self.driver.leaving = True
+        self.driver.stopping = True
         if not self.succession.replaced:
             self.succession.close()
             self._stop_listening()
@@ -350,7 +352,7 @@
                 self.admin.stopListening()
             self.discovery.close()
             self.clocks.stop()
-            self.driver.process_ends()
+            self.driver.process_exiting()
             log.info(
                 "stopped: %d requests and connections were left; invariants: %s",
                 len(self.driver.transactions),
--- a/scaledeal/net/request_guard.py
+++ b/scaledeal/net/request_guard.py
@@ -1,7 +1,8 @@
-"""The one place that says whether a request may be sent, repeated, refused or closed now.
+"""Decides whether the protocol allows a request to be sent, repeated, refused or closed now; nothing else does.
 
-It decides nothing that the decision module decides: it holds the module, the network code and the two sides of a
-connection to the protocol's rules, from what this process itself has sent and heard. No I/O; the clock is the caller's.
+The guard takes no decision of the decision module: it enforces the protocol's rules on the module, on the network code
+and on both sides of a connection, from what this process itself has sent and received. It does no I/O; the caller
+provides the clock.
 """
 
 from __future__ import annotations
@@ -13,59 +14,59 @@
 from scaledeal import interface as api
 from scaledeal.net.invariants import Invariants, Rule
 
-SLACK = 50_000_000  # ns by which each of the protocol's time limits is longer on sockets
-ANSWER_LATE = 500_000_000  # ns after the deadline from which an answer counts as lost
-STREAM_SILENT = 7_000_000_000  # ns that a connection may return nothing
-HELD_UP = 150_000_000  # ns that the relay may be held up between reading its clock and writing
+TIMEOUT_SLACK_NS = 50_000_000  # by which each of the protocol's time limits is longer on sockets
+LATE_ANSWER_NS = 500_000_000  # time after the deadline from which an answer counts as lost
+MAX_SILENCE_NS = 7_000_000_000  # time that a connection may return nothing
+MAX_HOLD_UP_NS = 150_000_000  # time that the relay may be held up between reading its clock and writing
 
 NEVER_RAN = frozenset((api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT))
 
 
 class Location(msgspec.Struct, frozen=True):
-    """Where a server stands: what repeats of a keyed request are tied to."""
+    """The zone and cell of a server, to which repeats of a keyed request may be limited."""
 
     zone: int = -1
     cell: int = -1
 
 
-class Copy(msgspec.Struct, frozen=True):
+class SentAttempt(msgspec.Struct, frozen=True):
     """An attempt that may have run."""
 
     server: str
-    sent_at: int  # ns, when it was begun
+    sent_at: int  # when the attempt began, in ns
 
 
-class Obligation(msgspec.Struct):
-    """What the guard keeps of one request."""
+class GuardedRequest(msgspec.Struct):
+    """What the guard knows about one request."""
 
-    request: str  # the client's id
+    request_id: str  # the id that the client gave it
     deadline: int  # ns
     semantics: api.Semantics
     scope: api.Scope
     window: int  # ns
-    standing: bool = False  # it stood before this relay's start, at a server of its own
+    established_before: bool = False  # its connection was established before this relay's start, at a server it names
     over: bool = False  # answered, or its client left
-    out: str = ""  # the server of the attempt that is out
-    out_since: int = 0
-    may_have_run: Copy | None = None  # the first attempt that may have run
+    attempt_server: str = ""  # the server of the current attempt; empty if there is none
+    attempt_began: int = 0  # ns
+    may_have_run: SentAttempt | None = None  # the first attempt that may have run
 
 
 class RequestGuard:
-    """Judges every attempt, refusal and end of this relay's requests; ``invariants`` counts what breaks a rule."""
+    """Checks every attempt, refusal and end of this relay's requests; ``invariants`` counts what breaks a rule."""
 
     def __init__(self, settings: api.Settings, grace: int, now: Callable[[], int], invariants: Invariants) -> None:
-        """``grace`` is the ns within which sends to a draining server have to stop."""
+        """``grace`` is the time in nanoseconds within which sends to a draining server have to stop."""
         self.settings = settings
         self.now = now
         self.invariants = invariants
         self.locations: dict[str, Location] = {}
-        self.draining: dict[str, int] = {}  # servers that want nothing new, and since when this relay has known
-        self.grace = max(0, grace - HELD_UP)
+        self.draining: dict[str, int] = {}  # servers that take nothing new, and since when this relay has known, in ns
+        self.grace = max(0, grace - MAX_HOLD_UP_NS)
 
-    # What is known of servers
+    # Servers
 
     def listed(self, event: api.Membership) -> None:
-        """Take a list of servers."""
+        """Record a list of servers."""
         now = self.now()
         for entry in event.servers:
             self.locations[entry.server] = Location(entry.zone, entry.cell)
@@ -78,108 +79,124 @@
             for server in self.locations.keys() - listed:
                 self.draining.setdefault(server, now)
 
-    # A request
-
-    def open(self, request: str, request_class: int, deadline: int, standing: bool) -> Obligation:
-        """Take a request whose final answer is owed from now on."""
-        about = self.settings.classes[request_class]
-        return Obligation(request, deadline, about.semantics, about.scope, about.window, standing)
-
-    def judge_send(self, owed: Obligation, server: str) -> api.Result | None:
-        """Return None where an attempt at this server may begin, else the result that the module is told of it."""
-        if owed.over:
-            self.invariants.prevents(Rule.SENT_AFTER_END, owed.request, server)
-        elif owed.out:
-            self.invariants.prevents(Rule.SECOND_COPY, owed.request, f"{server} beside {owed.out}")
-        elif self.now() >= owed.deadline:
-            return api.Result.NOT_SENT  # no fault: the module is told that the time is up
-        elif not self._may_repeat(owed, server):
-            self.invariants.prevents(Rule.UNSAFE_REPEAT, owed.request, f"{server} after {owed.may_have_run}")
-        elif not owed.standing and self._drains(server):
-            self.invariants.prevents(Rule.SENT_TO_DRAINING, owed.request, server)
+    # Requests
+
+    def open(self, request_id: str, request_class: int, deadline: int, established_before: bool) -> GuardedRequest:
+        """Begin to guard a request, which must get a final answer from now on."""
+        settings = self.settings.classes[request_class]
+        return GuardedRequest(
+            request_id, deadline, settings.semantics, settings.scope, settings.window, established_before
+        )
+
+    def check_send(self, request: GuardedRequest, server: str) -> api.Result | None:
+        """Return None if an attempt at this server may begin, else the result to report to the decision module."""
+        if request.over:
+            self.invariants.record_prevented(Rule.SENT_AFTER_END, request.request_id, server)
+        elif request.attempt_server:
+            self.invariants.record_prevented(
+                Rule.SECOND_COPY, request.request_id, f"{server} beside {request.attempt_server}"
+            )
+        elif self.now() >= request.deadline:
+            return api.Result.NOT_SENT  # not a fault: the module learns that the time is over
+        elif not self._may_repeat(request, server):
+            self.invariants.record_prevented(
+                Rule.UNSAFE_REPEAT, request.request_id, f"{server} after {request.may_have_run}"
+            )
+        elif not request.established_before and self._is_closed_to_new(server):
+            self.invariants.record_prevented(Rule.SENT_TO_DRAINING, request.request_id, server)
             return api.Result.CONNECT_FAILED
         else:
             return None
         return api.Result.NOT_SENT
 
-    def begun(self, owed: Obligation, server: str) -> None:
-        """Hear that an attempt has begun."""
-        owed.out, owed.out_since = server, self.now()
-
-    def may_write(self, owed: Obligation) -> bool:
-        """Tell whether the first byte of the attempt that is out may be written now: its connection has come up."""
-        if owed.over:
-            return self._prevented(Rule.SENT_AFTER_END, owed, f"{owed.out}, connected late")
-        if self.now() >= owed.deadline:
-            return self._prevented(Rule.SENT_TOO_LATE, owed, f"{owed.out}, connected late")
-        if not owed.standing and self._drains(owed.out):
-            return self._prevented(Rule.SENT_TO_DRAINING, owed, f"{owed.out}, connected late")
+    def attempt_begun(self, request: GuardedRequest, server: str) -> None:
+        """Record that an attempt has begun."""
+        request.attempt_server, request.attempt_began = server, self.now()
+
+    def may_write(self, request: GuardedRequest) -> bool:
+        """Return whether the current attempt may write its first byte, now that its connection is established."""
+        if request.over:
+            return self._prevent(Rule.SENT_AFTER_END, request, f"{request.attempt_server}, connected late")
+        if self.now() >= request.deadline:
+            return self._prevent(Rule.SENT_TOO_LATE, request, f"{request.attempt_server}, connected late")
+        if not request.established_before and self._is_closed_to_new(request.attempt_server):
+            return self._prevent(Rule.SENT_TO_DRAINING, request, f"{request.attempt_server}, connected late")
         return True
 
-    def ended(self, owed: Obligation, result: api.Result) -> None:
-        """Hear how the attempt that was out ended."""
-        if owed.out and result not in NEVER_RAN and owed.may_have_run is None:
-            owed.may_have_run = Copy(owed.out, owed.out_since)
-        owed.out = ""
+    def attempt_ended(self, request: GuardedRequest, result: api.Result) -> None:
+        """Record the result of the current attempt, which is over."""
+        if request.attempt_server and result not in NEVER_RAN and request.may_have_run is None:
+            request.may_have_run = SentAttempt(request.attempt_server, request.attempt_began)
+        request.attempt_server = ""
 
-    def may_refuse(self, owed: Obligation) -> bool:
-        """Tell whether a client may be told that trying again is harmless."""
-        if owed.semantics is api.Semantics.REPEATABLE:
+    def may_refuse(self, request: GuardedRequest) -> bool:
+        """Return whether the client may be told that repeating the request is safe."""
+        if request.semantics is api.Semantics.REPEATABLE:
             return True
-        if owed.semantics is api.Semantics.KEYED and owed.scope is api.Scope.ALL:
+        if request.semantics is api.Semantics.KEYED and request.scope is api.Scope.ALL:
             return True
-        if owed.may_have_run is None and not owed.out:
+        if request.may_have_run is None and not request.attempt_server:
             return True
-        return self._prevented(Rule.UNSAFE_REFUSAL, owed, f"{owed.may_have_run or owed.out}")
+        return self._prevent(Rule.UNSAFE_REFUSAL, request, f"{request.may_have_run or request.attempt_server}")
 
-    def answered(self, owed: Obligation) -> None:
-        """Hear that the final answer is given, or that a connection that had it long since is over."""
-        if owed.over:
+    def answered(self, request: GuardedRequest) -> None:
+        """Record the final answer, or the end of an established connection, which has had its answer before."""
+        if request.over:
             return
-        owed.over = True
-        late = self.now() - owed.deadline
-        if late > ANSWER_LATE:
-            self.invariants.violated(Rule.LATE_ANSWER, owed.request, f"{late / 1e6:.0f} ms after its deadline")
-
-    def client_left(self, owed: Obligation) -> None:
-        """Hear that the client closed or cancelled: nothing is owed, and nothing may be sent."""
-        owed.over = True
-
-    def closed(self, owed: Obligation, by_relay: bool) -> None:
-        """Hear that the client's connection is closed; ``by_relay`` where this process closed it."""
-        if by_relay and not owed.over:
-            self.invariants.violated(Rule.CLOSED_UNANSWERED, owed.request, "closed by this relay")
-        owed.over = True
-
-    def silent(self, owed: Obligation, silence: int) -> None:
-        """Hear that a connection that stands has returned nothing for so many ns."""
-        if silence > STREAM_SILENT + SLACK:
-            self.invariants.violated(Rule.STALLED, owed.request, f"nothing returned for {silence / 1e9:.1f} s")
-
-    def process_ends(self, owed: Obligation) -> None:
-        """Hear that the process ends while this request is on its books."""
-        if not owed.over:
-            self.invariants.violated(Rule.OWED_AT_EXIT, owed.request, "no answer when the process ended")
-
-    # Inside
-
-    def _may_repeat(self, owed: Obligation, server: str) -> bool:
-        before = owed.may_have_run
-        if before is None or owed.semantics is api.Semantics.REPEATABLE:
+        request.over = True
+        lateness = self.now() - request.deadline
+        if lateness > LATE_ANSWER_NS:
+            self.invariants.record_violation(
+                Rule.LATE_ANSWER, request.request_id, f"{lateness / 1e6:.0f} ms after its deadline"
+            )
+
+    def client_left(self, request: GuardedRequest) -> None:
+        """Record that the client closed or cancelled: it needs no answer, and nothing may be sent."""
+        request.over = True
+
+    def connection_closed(self, request: GuardedRequest, by_relay: bool) -> None:
+        """Record that the client's connection is closed; ``by_relay``: this process closed it."""
+        if by_relay and not request.over:
+            self.invariants.record_violation(Rule.CLOSED_UNANSWERED, request.request_id, "closed by this relay")
+        request.over = True
+
+    def check_silence(self, request: GuardedRequest, silence: int) -> None:
+        """Check the time in nanoseconds for which an established connection has returned nothing."""
+        if silence > MAX_SILENCE_NS + TIMEOUT_SLACK_NS:
+            self.invariants.record_violation(
+                Rule.STALLED, request.request_id, f"nothing returned for {silence / 1e9:.1f} s"
+            )
+
+    def process_exiting(self, request: GuardedRequest) -> None:
+        """Record a violation if the process exits before this request is over."""
+        if not request.over:
+            self.invariants.record_violation(Rule.OWED_AT_EXIT, request.request_id, "no answer when the process ended")
+
+    # Internal methods
+
+    def _may_repeat(self, request: GuardedRequest, server: str) -> bool:
+        before = request.may_have_run
+        if before is None or request.semantics is api.Semantics.REPEATABLE:
             return True
-        if owed.semantics is api.Semantics.ONCE or self.now() - before.sent_at > owed.window:
+        if request.semantics is api.Semantics.ONCE or self.now() - before.sent_at > request.window:
             return False
-        if owed.scope is api.Scope.ALL:
+        if request.scope is api.Scope.ALL:
             return True
-        mine, first = self.locations.get(server), self.locations.get(before.server)
-        if mine is None or first is None:
+        location, first_location = self.locations.get(server), self.locations.get(before.server)
+        if location is None or first_location is None:
             return server == before.server
-        return mine.zone == first.zone if owed.scope is api.Scope.ZONE else mine.cell == first.cell
-
-    def _drains(self, server: str) -> bool:
+        return (
+            location.zone == first_location.zone
+            if request.scope is api.Scope.ZONE
+            else location.cell == first_location.cell
+        )
+
+    def _is_closed_to_new(self, server: str) -> bool:
+        """Return whether the server has been draining for longer than the grace."""
         since = self.draining.get(server)
         return since is not None and self.now() - since > self.grace
 
-    def _prevented(self, rule: Rule, owed: Obligation, detail: str) -> bool:
-        self.invariants.prevents(rule, owed.request, detail)
+    def _prevent(self, rule: Rule, request: GuardedRequest, detail: str) -> bool:
+        """Count a prevented violation, and return False."""
+        self.invariants.record_prevented(rule, request.request_id, detail)
         return False
--- a/scaledeal/net/service.py
+++ b/scaledeal/net/service.py
@@ -84,7 +84,7 @@
             self.driver.draining = True  # from here on whatever comes up is moved at once
         else:
             self._timer = self.driver.later(min(STEP, left), self._round)
-        standing = self.driver.standing()
+        standing = self.driver.established()
         # Guards against a herd: all of them coming to the other relays in one moment.
         self._due += len(standing) * min(1.0, STEP / left) if left > 0 else len(standing)
         for transaction in standing[: int(self._due)]:
--- a/scaledeal/net/trace.py
+++ b/scaledeal/net/trace.py
@@ -1,7 +1,8 @@
-"""What this relay heard and decided, one JSON line each, with the figures a decision was taken on.
+"""A trace of the events and decisions of this relay, one JSON line each, with the figures a decision was based on.
 
-Off unless ``PROXY_TRACE`` names a file, or ``-`` for standard error among the log's lines, each then behind the
-word TRACE. It decides nothing, and without it nothing of it is called. ``scaledeal lab account`` reads it.
+Tracing is off unless ``PROXY_TRACE`` names a file, or ``-`` for standard error; there each line follows the word TRACE,
+as log lines are written there too. The trace has no influence on decisions, and none of its methods is called while
+tracing is off. ``scaledeal lab account`` reads it.
 """
 
 from __future__ import annotations
@@ -19,193 +20,202 @@
 
 log = logging.getLogger("scaledeal.trace")
 
-MS = 1_000_000
-MARK = b"TRACE "
+NS_PER_MS = 1_000_000
+LINE_PREFIX = b"TRACE "  # of the lines on standard error
 
 
 class Line(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=False):
-    """One line: ``at`` in seconds since 1970, all other times in ms; what does not apply is left out."""
+    """One line: ``at`` is in seconds since 1970, other times in ms; fields with their default are left out."""
 
     at: float
     what: str
     relay: str = ""
-    request: str = ""  # this relay's own name of it
-    id: str = ""  # the client's
+    request: str = ""  # this relay's handle of it
+    id: str = ""  # the id that the client gave the request
     key: str = ""
     group: str = ""
     cls: int = -1
-    again: bool = False  # the client's connection stood before
+    again: bool = False  # the client is returning: it had an established connection before
     server: str = ""
     result: str = ""
-    stood: bool = False  # whether the connection was up when it ended
+    stood: bool = False  # the request ended with this attempt, as it does with an established connection
     why: str = ""  # the rule that refused, failed or moved
-    ms: float = 0.0  # how long it took, or may take
-    rung: int = 0
+    ms: float = 0.0  # duration, or maximum duration
+    rung: int = 0  # of admission control
     index: float = 0.0  # the load index at the last step
     share: float = 1.0  # of its bucket
-    asked: float = -1.0  # load asked of the server over what it can do, as this relay believes
-    told_ms: float = -1.0  # age of that server's last report
-    cold: bool = False
-    number: int = 0  # of the attempt, or of entries
-    live: int = 0
+    asked: float = -1.0  # the server's utilisation as estimated by this relay: its load over its capacity
+    told_ms: float = -1.0  # age of the server's last load report
+    cold: bool = False  # the server is cold
+    number: int = 0  # of the attempt, or how many servers a list has
+    live: int = 0  # how many of them are live
     zone: int = -1
     far: bool = False  # the server is in another zone
     names: tuple[str, ...] = ()  # of the classes
     worths: tuple[float, ...] = ()
-    aims: tuple[float, ...] = ()  # of messages
+    aims: tuple[float, ...] = ()  # of the classes' messages
     siblings: int = 0
 
 
 class Trace:
-    """Writes the lines of one relay; every call takes the driver's time in nanoseconds."""
+    """Writes the trace lines of one relay; ``now`` is the time on the driver's clock in nanoseconds."""
 
-    def __init__(self, relay: str, write: Callable[[bytes], object], ahead: int) -> None:
-        """``write`` takes a whole line; ``ahead`` is Unix time less the driver's, in nanoseconds."""
-        self.relay, self.ahead = relay, ahead
+    def __init__(self, relay: str, write: Callable[[bytes], object], unix_offset: int) -> None:
+        """``write`` takes a whole line; ``unix_offset`` is Unix time minus the driver's, in nanoseconds."""
+        self.relay, self.unix_offset = relay, unix_offset
         self.write = write
         self.encoder = msgspec.json.Encoder()
         self.rung = 0
 
-    def put(self, now: int, what: str, **more: Any) -> None:
+    def write_line(self, now: int, what: str, **fields: Any) -> None:
         """Write one line."""
-        line = Line(round((now + self.ahead) / 1e9, 6), what, self.relay, **more)
+        line = Line(round((now + self.unix_offset) / 1e9, 6), what, self.relay, **fields)
         try:
             self.write(self.encoder.encode(line) + b"\n")
         except OSError as error:
-            # Guards against a full disk that takes the relay's decisions along: it goes on without a trace.
-            log.error("trace ended: %s", error.strerror)
+            # A full disk must not stop the relay, so it goes on without a trace.
+            log.error("writing the trace failed, tracing stopped: %s", error.strerror)
             self.write = len
 
-    def begins(self, now: int, names: tuple[str, ...], settings: api.Settings) -> None:
-        """Note the start, and what the account needs of the settings."""
-        self.put(
+    def relay_started(self, now: int, names: tuple[str, ...], settings: api.Settings) -> None:
+        """Write the start, with the settings that the account needs."""
+        self.write_line(
             now,
             "start",
             names=names,
             worths=tuple(c.worth for c in settings.classes),
             zone=settings.zone,
-            aims=tuple(c.message_aim / MS for c in settings.classes),
+            aims=tuple(c.message_aim / NS_PER_MS for c in settings.classes),
             siblings=settings.siblings,
         )
 
-    def takes(self, now: int, request: str, ask: ClientRequest) -> None:
-        """Note a request, or a connection that stood before the start."""
-        self.put(
+    def request_received(self, now: int, handle: str, request: ClientRequest) -> None:
+        """Write a request, or a connection that was established before the start."""
+        self.write_line(
             now,
             "ask",
-            request=request,
-            id=ask.request_id,
-            key=ask.key,
-            group=ask.group,
-            cls=ask.request_class,
-            again=ask.returning,
-            server=ask.previous_server,
+            request=handle,
+            id=request.request_id,
+            key=request.key,
+            group=request.group,
+            cls=request.request_class,
+            again=request.returning,
+            server=request.previous_server,
         )
 
-    def over(self, now: int, request: str, client: str, server: str, why: str) -> None:
-        """Note why a request, or a connection that stood, is over."""
-        self.put(now, "over", request=request, id=client, server=server, why=why)
+    def request_ended(self, now: int, request: str, client_id: str, server: str, why: str) -> None:
+        """Write why a request or an established connection is over; ``client_id`` is the client's id of it."""
+        self.write_line(now, "over", request=request, id=client_id, server=server, why=why)
 
-    def late(self, now: int, request: str, server: str, took: int, waits: bool) -> None:
-        """Note a message that came later than its class wants it, or that is waited for so long."""
-        self.put(now, "late", request=request, server=server, ms=took / MS, why="waits" if waits else "")
+    def message_late(self, now: int, request: str, server: str, duration: int, unanswered: bool) -> None:
+        """Write a message delay of ``duration`` nanoseconds above its class's aim; ``unanswered``: still waiting."""
+        self.write_line(
+            now, "late", request=request, server=server, ms=duration / NS_PER_MS, why="waits" if unanswered else ""
+        )
 
-    def handled(self, now: int, event: api.Event, actions: list[api.Action], balancer: Balancer) -> None:
-        """Note an event, then what the decision module wants done."""
+    def event_handled(self, now: int, event: api.Event, actions: list[api.Action], balancer: Balancer) -> None:
+        """Write an event, then the actions of the decision module and a change of the rung."""
         match event:
             case api.Established():
-                self.put(
-                    now, "up", request=event.request, server=event.server, ms=event.elapsed / MS, number=event.attempt
+                self.write_line(
+                    now,
+                    "up",
+                    request=event.request,
+                    server=event.server,
+                    ms=event.elapsed / NS_PER_MS,
+                    number=event.attempt,
                 )
             case api.Outcome():
-                self.put(
+                self.write_line(
                     now,
                     "out",
                     request=event.request,
                     server=event.server,
                     result=event.result.value,
                     number=event.attempt,
-                    ms=event.elapsed / MS,
+                    ms=event.elapsed / NS_PER_MS,
                     stood=event.last,
                 )
             case api.Note(kind=api.NoteKind.DELAY):
-                self.put(now, "slow", server=event.server, ms=event.amount)
+                self.write_line(now, "slow", server=event.server, ms=event.amount)
             case api.ClientGone():
-                self.put(now, "gone", request=event.request)
+                self.write_line(now, "gone", request=event.request)
             case api.ProbeResult():
-                self.put(
+                self.write_line(
                     now,
                     "report",
                     result=event.result.value,
-                    ms=event.elapsed / MS,
-                    **self._server(now, balancer, event.server),
+                    ms=event.elapsed / NS_PER_MS,
+                    **self._server_fields(now, balancer, event.server),
                 )
             case api.Membership():
                 live = sum(entry.state is api.ServerState.LIVE for entry in event.servers)
-                self.put(now, "list", why=event.kind.value, number=len(event.servers), live=live)
+                self.write_line(now, "list", why=event.kind.value, number=len(event.servers), live=live)
         for action in actions:
-            self._action(now, action, balancer)
+            self._write_action(now, action, balancer)
         if balancer.ladder.rung != self.rung:
             self.rung = balancer.ladder.rung
-            self.put(now, "rung", rung=self.rung, index=balancer.ladder.last_index)
+            self.write_line(now, "rung", rung=self.rung, index=balancer.ladder.last_index)
 
-    def _action(self, now: int, action: api.Action, balancer: Balancer) -> None:
+    def _write_action(self, now: int, action: api.Action, balancer: Balancer) -> None:
         match action:
             case api.Send():
-                self.put(
+                self.write_line(
                     now,
                     "send",
                     request=action.request,
-                    ms=action.timeout / MS,
+                    ms=action.timeout / NS_PER_MS,
                     rung=balancer.ladder.rung,
-                    **self._server(now, balancer, action.server),
+                    **self._server_fields(now, balancer, action.server),
                 )
             case api.Refuse():
-                self.put(
+                self.write_line(
                     now,
                     "refuse",
                     request=action.request,
                     why=action.why,
-                    ms=action.retry_after / MS,
+                    ms=action.retry_after / NS_PER_MS,
                     rung=balancer.ladder.rung,
                     index=balancer.ladder.last_index,
                 )
             case api.Fail():
-                self.put(now, "fail", request=action.request, why=action.why)
+                self.write_line(now, "fail", request=action.request, why=action.why)
             case api.Move():
-                flight = balancer.requests.get(action.request)
-                told = self._server(now, balancer, flight.attempts[-1].server.id) if flight else {}
-                self.put(now, "move", request=action.request, why=action.why, rung=balancer.ladder.rung, **told)
+                request = balancer.requests.get(action.request)
+                fields = self._server_fields(now, balancer, request.attempts[-1].server.id) if request else {}
+                self.write_line(
+                    now, "move", request=action.request, why=action.why, rung=balancer.ladder.rung, **fields
+                )
             case api.Probe():
-                self.put(now, "probe", server=action.server)
+                self.write_line(now, "probe", server=action.server)
             case api.Watch():
-                self.put(now, "watch")
+                self.write_line(now, "watch")
 
-    def _server(self, now: int, balancer: Balancer, name: str) -> dict[str, Any]:
+    def _server_fields(self, now: int, balancer: Balancer, name: str) -> dict[str, Any]:
         server: Server | None = balancer.servers.get(name)
         if server is None:
             return {"server": name}
-        asked = balancer.utilisation(server)
-        age = (now - server.reported_at) / MS if server.reported_utilisation >= 0 else -1.0
+        utilisation = balancer.utilisation(server)
+        age = (now - server.reported_at) / NS_PER_MS if server.reported_utilisation >= 0 else -1.0
         return {
             "server": name,
-            "asked": -1.0 if asked is None else round(asked, 3),
+            "asked": -1.0 if utilisation is None else round(utilisation, 3),
             "told_ms": round(age, 1),
             "cold": balancer.is_cold(server),
             "far": server.zone != balancer.settings.zone,
         }
 
 
-def open_trace(where: str, relay: str, ahead: int) -> Trace:
-    """Return a trace that appends to a file, or that writes to standard error; raise OSError if it can't."""
-    if where == "-":
-        return Trace(relay, lambda line: _write_whole(2, MARK + line), ahead)
-    # Guards against lines that a killed relay takes along: each is handed to the system as it is written.
-    file = os.open(where, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-    return Trace(relay, lambda line: _write_whole(file, line), ahead)
+def open_trace(path: str, relay: str, unix_offset: int) -> Trace:
+    """Return a trace that appends to a file, or writes to standard error if ``path`` is ``-``; raise OSError."""
+    if path == "-":
+        return Trace(relay, lambda line: _write_all(2, LINE_PREFIX + line), unix_offset)
+    # Each line is written at once: a killed relay would lose buffered ones.
+    file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+    return Trace(relay, lambda line: _write_all(file, line), unix_offset)
 
 
-def _write_whole(descriptor: int, data: bytes) -> None:
-    """Write all of it: the system may take less at once."""
+def _write_all(descriptor: int, data: bytes) -> None:
+    """Write all data: one call of ``write`` may take only a part of it."""
     while data:
         data = data[os.write(descriptor, data) :]
--- a/scaledeal/net/transaction.py
+++ b/scaledeal/net/transaction.py
@@ -61,10 +61,10 @@
     def overdue(self, transaction: Transaction) -> None:
         """Record that the decision module left a request unanswered."""
 
-    def late(self, transaction: Transaction, took: int, waits: bool) -> None:
-        """Record a message delay of ``took`` nanoseconds, above its class's aim; ``waits``: still unanswered."""
+    def message_late(self, transaction: Transaction, duration: int, unanswered: bool) -> None:
+        """Record a message delay of ``duration`` nanoseconds, above its class's aim; ``unanswered``: still waiting."""
 
-    def silent(self, transaction: Transaction) -> None:
+    def server_silent(self, transaction: Transaction) -> None:
         """Record that an application server has returned nothing on a connection for too long."""
 
 
@@ -77,7 +77,7 @@
         self.request = request
         self.agent = agent
         self.state = State.WAITING
-        self.owed = host.guard.open(
+        self.guarded = host.guard.open(
             request.request_id or handle, request.request_class, request.deadline, bool(request.previous_server)
         )
         self.attempts = 0
@@ -99,18 +99,18 @@
         number, self.attempts = self.attempts, self.attempts + 1
         self.server, self.attempt_started_at = server, self.host.now()
         left = self.request.deadline - self.attempt_started_at
-        not_sent = self.host.guard.judge_send(self.owed, server)
+        not_sent = self.host.guard.check_send(self.guarded, server)
         if not_sent is not None:
             self._outcome(number, not_sent, ())
         elif not address:
             self._outcome(number, api.Result.CONNECT_FAILED, ())
         else:
-            self.host.guard.begun(self.owed, server)
+            self.host.guard.attempt_begun(self.guarded, server)
             self.current = self.agent.begin_attempt(address, min(timeout or left, left), self)
 
     def refuse(self, retry_after: int) -> None:
         """Refuse the request; it fails instead if it may have run, as repeating it would not be safe."""
-        if self.state is State.WAITING and not self.host.guard.may_refuse(self.owed):
+        if self.state is State.WAITING and not self.host.guard.may_refuse(self.guarded):
             self.fail()
         elif self._begin_answer(EndCause.REFUSED):
             self.counts.throttled += 1
@@ -147,7 +147,7 @@
     def resumed(self, server: str) -> None:
         """Start as established: another process has set up the connection."""
         self.state, self.server, self.attempts = State.ESTABLISHED, server, 1
-        self.host.guard.answered(self.owed)
+        self.host.guard.answered(self.guarded)
         self._stop_timer()
 
     def hand_over(self) -> PausedConnection | None:
@@ -176,7 +176,7 @@
 
     def may_write(self) -> bool:
         """Return whether the attempt's first line may be written now."""
-        return self.host.guard.may_write(self.owed)
+        return self.host.guard.may_write(self.guarded)
 
     def request_written(self) -> None:
         """Count an attempt whose first line is completely written."""
@@ -186,7 +186,7 @@
         """Record that the connection is established, and tell the decision module."""
         self.counts.fulfilled += 1
         self.state = State.ESTABLISHED
-        self.host.guard.answered(self.owed)
+        self.host.guard.answered(self.guarded)
         self._stop_timer()
         request = self.request
         if request.previous_server:
@@ -216,7 +216,7 @@
         """Record a message's delay in nanoseconds, and report it to the decision module if it is due."""
         self.host.delays.record_answer(self.server, duration)
         if duration > self.aim > 0:
-            self.host.late(self, duration, False)
+            self.host.message_late(self, duration, False)
         self._report_delay(duration)
 
     def _report_delay(self, duration: int) -> None:
@@ -228,12 +228,12 @@
         since = self.current.unanswered_since() if self.current is not None else 0
         if not since or self.current is None:
             return
-        self.host.guard.silent(self.owed, now - since)
+        self.host.guard.check_silence(self.guarded, now - since)
         if now - since > self.aim > 0 and self.late_reported != since:
             self.late_reported = since
-            self.host.late(self, now - since, True)
+            self.host.message_late(self, now - since, True)
         if now - since >= SILENT_TIMEOUT_NS:
-            self.host.silent(self)
+            self.host.server_silent(self)
             self.current.close_as_broken()
         elif now - since >= UNANSWERED_REPORT_NS and not self.host.delays.answered_since(self.server, since):
             self._report_delay(now - since)
@@ -249,12 +249,12 @@
     def attempt_ended(self, result: api.Result, report: tuple[float, ...], broke: bool) -> None:
         """Handle the end of the current attempt, and post its outcome."""
         self.current = None
-        self.host.guard.ended(self.owed, result)
+        self.host.guard.attempt_ended(self.guarded, result)
         was_established = self.state is State.ESTABLISHED
         if was_established or (result is api.Result.OK and self.state is State.WAITING):
             self.counts.fulfilled += not was_established  # served completely by its first answer
             self.state = State.OVER
-            self.host.guard.answered(self.owed)
+            self.host.guard.answered(self.guarded)
             self.host.ended(self, EndCause.SERVER_BROKE if result is api.Result.RESET else EndCause.SERVER_ENDED)
             self._stop_timer()
             self.agent.ended(broke)
@@ -274,7 +274,7 @@
                 self.current.client_left(broke)
         elif self.state is State.WAITING:
             self.state = State.OVER
-            self.host.guard.client_left(self.owed)
+            self.host.guard.client_left(self.guarded)
             self.host.ended(self, EndCause.CLIENT_LEFT)
             self._stop_timer()
             if self.request.previous_server:
@@ -288,7 +288,7 @@
     def closed_by_relay(self) -> None:
         """Record that this relay closed the client's connection without an answer."""
         if self.state is State.WAITING:
-            self.host.guard.closed(self.owed, by_relay=True)
+            self.host.guard.connection_closed(self.guarded, by_relay=True)
 
     def client_ended_sending(self) -> None:
         """Handle the end of the client's sending: before an answer it means that the client has left."""
@@ -304,7 +304,7 @@
         if self.state is not State.WAITING:
             return False
         self.state = State.OVER
-        self.host.guard.answered(self.owed)
+        self.host.guard.answered(self.guarded)
         self.host.ended(self, cause)
         self._stop_timer()
         if self.current is not None:
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -259,7 +259,7 @@
         request = ClientRequest(
             match.request_class, self.now() + match.timeout_ns, match.key, match.group, match.tenant
         )
-        agent.transaction = self.driver.take(request, agent)
+        agent.transaction = self.driver.begin_transaction(request, agent)
         return True
 
     def _adopt(self, verdict: v.Adopt) -> bool:
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -249,7 +249,7 @@
             {"browse": 0},
             {"acme": 0},
             self.admission,
-            self.driver.take,
+            self.driver.begin_transaction,
             lambda: self.service.stage is not Stage.LAME_DUCK,
         )
         self.service.started()
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -225,6 +225,6 @@
         raise OSError(28, "No space left on device")
 
     trace = Trace("n0", full, 0)
-    trace.put(1, "watch")
-    trace.put(2, "watch")
+    trace.write_line(1, "watch")
+    trace.write_line(2, "watch")
     assert len(written) == 1, "written on after the disk was full"
--- a/tests/test_carry_model.py
+++ b/tests/test_carry_model.py
@@ -88,7 +88,7 @@
         # Guards against a word of the module's on a connection that is not ours any more, or not yet.
         handle = line.handed[0][0].handle
         self.bench.act(api.Move(handle), api.Fail(handle))
-        self.bench.driver.look_round()
+        self.bench.driver.check_connections()
         if dies:
             carrier.lost()
             assert not self.client.paused and not self.server.paused
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -367,7 +367,7 @@
             clients[-1].receive(b"OPEN %x k c=browse,d=%d\r\n" % (came, longest * 1000))
         play(one, act, one.reactor.seconds() + STEP)
     assert one.port.closed[0] >= told + 0.4 and len(one.port.closed) == 1
-    assert one.relay.driver.levels()["open_requests"] == 0
+    assert one.relay.driver.gauges()["open_requests"] == 0
     unanswered = [each.lines() for each in clients if len(finals(each)) != 1]
     assert not unanswered, f"{len(unanswered)} of {len(clients)} were closed without an answer"
     assert all(each.lines()[-1] == b"MOVE" for each in clients if each.lines()[0] == b"UP 1")
@@ -396,7 +396,7 @@
 
     reactor: Any = cast(Any, MonotonicReactor)()
     bench = Bench()
-    bench.driver.leaving = True
+    bench.driver.stopping = True
     listener: Any = ClientListener(0, ClientFactory(bench.client_context), 64, "127.0.0.1", reactor)
     listener.startListening()
     at = ("127.0.0.1", listener.getHost().port)
@@ -496,7 +496,7 @@
     clients = [one.client(number) for number in range(1, 21)]
     one.run(0.3)
     assert [each.lines() for each in clients] == [[b"BUSY"]] * 20 and set(one.results()) == {"not_sent"}
-    assert one.relay.driver.levels() == {"open_requests": 0, "registry_entries": 3, "out_of_rotation": 0}
+    assert one.relay.driver.gauges() == {"open_requests": 0, "registry_entries": 3, "out_of_rotation": 0}
     assert one.relay.driver.balancer.pending == 0
     one.reactor.connectTCP = dial
     one.run(6)
@@ -516,7 +516,7 @@
     new = api.Membership(api.MembershipKind.CHANGES, (api.ServerEntry("s9"),))
     if listed:
         one.relay.driver.listed(new, {"s0": address, "s9": address})
-        told = "list not taken in full: address of {}: host:port was expected, not {!r}"
+        told = "server list partly ignored: address of {}: host:port was expected, not {!r}"
         assert [each.getMessage() for each in caplog.records] == [told.format(s, address) for s in ("s0", "s9")]
         assert one.relay.driver.addresses["s0"] == "127.0.0.1:1", "the last good one stays"
     elif not address.endswith("66000"):  # which is only found out by the system
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -23,6 +23,6 @@
     write = os.write
     monkeypatch.setattr(os, "write", lambda descriptor, data: write(descriptor, data[:5]))
     trace = open_trace(str(tmp_path / "trace"), "n0", 0)
-    trace.over(1_000_000_000, "t1", "c0ffee", "s1", "moved")
+    trace.request_ended(1_000_000_000, "t1", "c0ffee", "s1", "moved")
     told = json.loads((tmp_path / "trace").read_bytes())
     assert (told["what"], told["id"], told["why"]) == ("over", "c0ffee", "moved")
--- a/tests/test_lab_days.py
+++ b/tests/test_lab_days.py
@@ -136,7 +136,7 @@
     scenario, source = day(troubles=("deploy", "crowd"), overload=True), lab_broken.DRAINING_USED
     guarded = [run(scenario, "relay", seed, source).violation for seed in range(1, 7)]
     assert not any(guarded), guarded
-    monkeypatch.setattr(RequestGuard, "_drains", lambda guard, server: False)
+    monkeypatch.setattr(RequestGuard, "_is_closed_to_new", lambda guard, server: False)
     unguarded = [run(scenario, "relay", seed, source).violation for seed in range(1, 7)]
     assert any(violation is not None and violation.rule == "drains" for violation in unguarded), unguarded
 
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -20,7 +20,7 @@
         hangs = one.client(1, 60_000)
         one.attempts()[0].up(one.reactor).flush()
     one.relay.drain()
-    while not one.relay.driver.leaving:
+    while not one.relay.driver.stopping:
         one.run(0.01)
         assert one.reactor.seconds() < 1000 + LONGEST_DEADLINE + LEFT_OVER + LAST_CALL + 1, "it never goes"
     assert hangs is None or hangs.lines() == [b"ERR"], "answered at the last call"
@@ -35,7 +35,7 @@
 def test_an_end_that_crosses_the_refusal_is_no_fault(tmp_path: Path) -> None:
     one = OneRelay(tmp_path)
     one.relay.drain()
-    while not one.relay.driver.leaving:
+    while not one.relay.driver.stopping:
         one.run(0.01)
     late = one.client(2)
     late.lose(error.ConnectionLost())
--- a/tests/test_net_model.py
+++ b/tests/test_net_model.py
@@ -322,7 +322,7 @@
             assert (counts.throttled, counts.faulted) == (words == [b"BUSY"], words == [b"ERR"])
         written = sum(b"\r\n" in wire.sent for wire in self.bench.wires())
         assert counts.relayed == written
-        assert self.bench.driver.levels()["open_requests"] == int(self.client is not None and not self.over)
+        assert self.bench.driver.gauges()["open_requests"] == int(self.client is not None and not self.over)
 
     @invariant()
     def every_send_has_one_outcome(self) -> None:
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -227,7 +227,7 @@
 def test_a_silent_connection_is_reported_and_closed_within_7_seconds():
     # TCP does not report a server that hangs or was cut off; its clients would stay there.
     bench = Bench()
-    bench.driver.look_round()
+    bench.driver.check_connections()
     client, server, _ = establish(bench)
     client.receive(b"M 1\r\n")
     for _ in range(65):
@@ -241,7 +241,7 @@
 def test_one_silent_connection_is_not_reported_as_a_hanging_server():
     # The server still answers its other connections, so a stream that stopped is reported as silent, not as a delay.
     bench = Bench()
-    bench.driver.look_round()
+    bench.driver.check_connections()
     silent, server, name = establish(bench)
     other, answering, _ = establish(bench, OPEN.replace(b"9b1f", b"9b20"))
     silent.receive(b"M 1\r\n")
@@ -256,7 +256,7 @@
 
 def test_a_connection_that_answers_is_never_closed_as_silent():
     bench = Bench()
-    bench.driver.look_round()
+    bench.driver.check_connections()
     client, server, _ = establish(bench)
     for _ in range(30):
         client.receive(b"M 1\r\n")
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -11,7 +11,7 @@
 from scaledeal import interface as api
 from scaledeal.net.clocks import ClockMonitor, UnixClock
 from scaledeal.net.invariants import Invariants, Rule
-from scaledeal.net.request_guard import NEVER_RAN, Obligation, RequestGuard
+from scaledeal.net.request_guard import NEVER_RAN, GuardedRequest, RequestGuard
 from scaledeal.net.roster import Calendar, Catalog, Endpoint, Roster
 
 MS, SECOND = 1_000_000, 1_000_000_000
@@ -45,20 +45,20 @@
             )
         )
 
-    def open(self, wait: int = SECOND, standing: bool = False) -> Obligation:
+    def open(self, wait: int = SECOND, standing: bool = False) -> GuardedRequest:
         return self.guard.open("r", 0, self.now + wait, standing)
 
 
 def test_a_second_copy_and_a_send_after_the_end_are_prevented_and_counted() -> None:
     world = World()
     owed = world.open()
-    assert world.guard.judge_send(owed, "a1") is None
-    world.guard.begun(owed, "a1")
-    assert world.guard.judge_send(owed, "a2") is api.Result.NOT_SENT
-    world.guard.ended(owed, api.Result.RESET)
-    assert world.guard.judge_send(owed, "a2") is None
+    assert world.guard.check_send(owed, "a1") is None
+    world.guard.attempt_begun(owed, "a1")
+    assert world.guard.check_send(owed, "a2") is api.Result.NOT_SENT
+    world.guard.attempt_ended(owed, api.Result.RESET)
+    assert world.guard.check_send(owed, "a2") is None
     world.guard.client_left(owed)
-    assert world.guard.judge_send(owed, "a2") is api.Result.NOT_SENT and not world.guard.may_write(owed)
+    assert world.guard.check_send(owed, "a2") is api.Result.NOT_SENT and not world.guard.may_write(owed)
     assert world.invariants.prevented == {Rule.SECOND_COPY: 1, Rule.SENT_AFTER_END: 2}
     assert not world.invariants.violations and world.invariants.summary() == "none violated"
 
@@ -68,23 +68,23 @@
     world = World()
     owed, stood = world.open(9 * SECOND), world.open(9 * SECOND, standing=True)
     world.list("a1", kind=kind)
-    world.guard.begun(owed, "a1")
-    world.guard.begun(stood, "a1")
+    world.guard.attempt_begun(owed, "a1")
+    world.guard.attempt_begun(stood, "a1")
     world.now += 840 * MS
     assert world.guard.may_write(owed)
     world.now += 20 * MS
     assert not world.guard.may_write(owed) and world.guard.may_write(stood)
-    world.guard.ended(owed, api.Result.CONNECT_FAILED)
-    assert world.guard.judge_send(owed, "a1") is api.Result.CONNECT_FAILED
+    world.guard.attempt_ended(owed, api.Result.CONNECT_FAILED)
+    assert world.guard.check_send(owed, "a1") is api.Result.CONNECT_FAILED
     world.list(kind=kind)
-    assert world.guard.judge_send(owed, "a1") is None
+    assert world.guard.check_send(owed, "a1") is None
 
 
 def test_a_server_that_a_whole_list_lacks_counts_as_draining() -> None:
     world = World()
     world.guard.listed(api.Membership(api.MembershipKind.FULL, (api.ServerEntry("a2"),)))
     world.now += SECOND
-    assert world.guard.judge_send(world.open(), "b1") is api.Result.CONNECT_FAILED
+    assert world.guard.check_send(world.open(), "b1") is api.Result.CONNECT_FAILED
 
 
 def may(semantics: api.Semantics, scope: api.Scope, first: api.Result, after: int, server: str) -> bool:
@@ -108,16 +108,16 @@
 ) -> None:
     world = World(semantics, scope)
     owed = world.open()
-    world.guard.begun(owed, "a1")
-    world.guard.ended(owed, first)
+    world.guard.attempt_begun(owed, "a1")
+    world.guard.attempt_ended(owed, first)
     world.now += after
-    assert (world.guard.judge_send(owed, server) is None) == may(semantics, scope, first, after, server)
+    assert (world.guard.check_send(owed, server) is None) == may(semantics, scope, first, after, server)
     harmless = first in NEVER_RAN or semantics is api.Semantics.REPEATABLE
     keyed_everywhere = semantics is api.Semantics.KEYED and scope is api.Scope.ALL
     assert world.guard.may_refuse(owed) == (harmless or keyed_everywhere)
 
 
-def late(world: World, owed: Obligation) -> None:
+def late(world: World, owed: GuardedRequest) -> None:
     world.now += SECOND + 501 * MS
     world.guard.answered(owed)
 
@@ -126,13 +126,13 @@
     ("rule", "happens"),
     [
         (Rule.LATE_ANSWER, late),
-        (Rule.CLOSED_UNANSWERED, lambda world, owed: world.guard.closed(owed, by_relay=True)),
-        (Rule.STALLED, lambda world, owed: world.guard.silent(owed, 8 * SECOND)),
-        (Rule.OWED_AT_EXIT, lambda world, owed: world.guard.process_ends(owed)),
+        (Rule.CLOSED_UNANSWERED, lambda world, owed: world.guard.connection_closed(owed, by_relay=True)),
+        (Rule.STALLED, lambda world, owed: world.guard.check_silence(owed, 8 * SECOND)),
+        (Rule.OWED_AT_EXIT, lambda world, owed: world.guard.process_exiting(owed)),
     ],
 )
 def test_what_happened_all_the_same_is_counted_told_and_logged_with_the_id(
-    rule: Rule, happens: Callable[[World, Obligation], None], caplog: pytest.LogCaptureFixture
+    rule: Rule, happens: Callable[[World, GuardedRequest], None], caplog: pytest.LogCaptureFixture
 ) -> None:
     world = World()
     happens(world, world.open())
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -75,10 +75,10 @@
     @rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 4.0]))
     def time_passes(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
-            standing = len(self.bench.driver.standing())
+            standing = len(self.bench.driver.established())
             left = self.by - self.bench.reactor.seconds()
             self.bench.reactor.advance(0.05)
-            went = standing - len(self.bench.driver.standing())
+            went = standing - len(self.bench.driver.established())
             if self.stage is not Stage.SERVING and left > 0.1:
                 assert went <= 2 + standing * 0.05 / (left - 0.05), "a herd"
             self.all_as_it_should_be()
@@ -90,7 +90,7 @@
         if self.stage is Stage.SERVING or now < self.since + NOTICED - 0.01:
             assert moved == self.moved, "moved though nobody drains"
         elif now > self.by + 0.06:
-            assert moved == len(self.clients) and not self.bench.driver.standing(), "not moved in time"
+            assert moved == len(self.clients) and not self.bench.driver.established(), "not moved in time"
         self.moved = moved
         # Guards against servers taken for draining because this relay moved its clients.
         assert len(self.bench.module.events_of(api.ClientGone)) == moved
@@ -111,12 +111,12 @@
     bench.service.lame_duck()
     for _ in range(39):
         bench.reactor.advance(0.05)
-    assert 15 <= len(bench.driver.standing()) <= 25, "half the time, about half of them"
+    assert 15 <= len(bench.driver.established()) <= 25, "half the time, about half of them"
     bench.service.rejoin()
-    left = len(bench.driver.standing())
+    left = len(bench.driver.established())
     for _ in range(100):
         bench.reactor.advance(0.05)
-    assert len(bench.driver.standing()) == left
+    assert len(bench.driver.established()) == left
     late = up(bench, 99)
     assert b"MOVE" not in late.lines() and sum(b"MOVE" in c.lines() for c in clients) == 40 - left
 
