--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -60,7 +60,7 @@
         """Return the run's time as Unix time."""
         return self.fleet.kernel.now + EPOCH_MS * MS
 
-    def port(self, clients: bool, port: int, factory: Any, backlog: int, host: str, reactor: Reactor) -> Port:
+    def port(self, for_clients: bool, port: int, factory: Any, backlog: int, host: str, reactor: Reactor) -> Port:
         """Return a simulated listening socket."""
         from scaledeal.lab.hosts.relay import reactor as simulated
 
--- a/scaledeal/net/client_listener.py
+++ b/scaledeal/net/client_listener.py
@@ -13,8 +13,8 @@
 from twisted.python.failure import Failure
 
 from scaledeal.net.admission import RESERVED_FOR_CLOSING
-from scaledeal.net.patient_sockets import PatientServer
 from scaledeal.net.ports import Reactor, Timer
+from scaledeal.net.retrying_sockets import RetryingServer
 from scaledeal.net.socket_errors import AcceptAction, AcceptErrors
 from scaledeal.net.user_agent import ClientContext, UserAgent
 
@@ -50,7 +50,7 @@
 
     # Without a shutdown: a shutdown would also end the queue for the process that the socket was handed over to.
     _shouldShutdown = False  # noqa: N815
-    transport = PatientServer
+    transport = RetryingServer
     _was_accepting = False  # whether this process still accepted connections when the socket was told to close
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
--- a/scaledeal/net/monotonic_reactor.py
+++ b/scaledeal/net/monotonic_reactor.py
@@ -1,8 +1,8 @@
 """Twisted's epoll reactor with its timers on the monotonic clock.
 
-Twisted's own reactors reckon ``callLater`` by ``time.time``. Where a machine's wall clock is stepped back, every
-pending timer is late by the step; where it is stepped forward, every one is due at once. All spans of the relay
-(deadlines, waits, windows, graces) hang on these timers, so the process has no other reactor.
+Twisted's own reactors measure ``callLater`` by ``time.time``. When a machine's wall clock is stepped back, every
+pending timer is late by the step; when it is stepped forward, every one fires at once. All time spans of the relay
+(deadlines, waits, windows, graces) depend on these timers, so the process uses no other reactor.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from scaledeal.net.patient_sockets import PatientConnector
 from scaledeal.net.ports import Reactor
+from scaledeal.net.retrying_sockets import RetryingConnector
 
-TRIES = 64  # tries of an epoll_ctl that fails for want of memory
-TRANSIENT = frozenset((errno.ENOMEM, errno.ENOSPC, errno.EINTR))
+MAX_EPOLL_CTL_RETRIES = 64  # tries of an epoll_ctl that fails with a transient error, before a last one
+TRANSIENT_ERRNOS = frozenset((errno.ENOMEM, errno.ENOSPC, errno.EINTR))
 
 
-class PatientPoller:
-    """An epoll object that tries again where epoll_ctl(2) fails for a moment.
+class RetryingPoller:
+    """An epoll object that retries epoll_ctl(2) after transient errors.
 
-    Guards against a connection that was taken and is never read, as the one call that registers it failed.
+    An accepted connection is registered by a single call: if it fails, the connection is never read.
     """
 
     def __init__(self, size: int) -> None:
@@ -36,39 +36,39 @@
 
     def register(self, descriptor: int, events: int) -> None:
         """Add a descriptor."""
-        self._again(self._epoll.register, descriptor, events)
+        self._retry(self._epoll.register, descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Change what is heard of a descriptor."""
-        self._again(self._epoll.modify, descriptor, events)
+        """Change the events that are polled for a descriptor."""
+        self._retry(self._epoll.modify, descriptor, events)
 
     def unregister(self, descriptor: int) -> None:
-        """Hear of a descriptor no more."""
-        self._again(self._epoll.unregister, descriptor)
+        """Remove a descriptor."""
+        self._retry(self._epoll.unregister, descriptor)
 
-    def _again(self, call: Callable[..., object], *args: int) -> None:
-        for _ in range(TRIES):
+    def _retry(self, call: Callable[..., object], *args: int) -> None:
+        for _ in range(MAX_EPOLL_CTL_RETRIES):
             try:
                 call(*args)
                 return
             except OSError as error:
-                if error.errno not in TRANSIENT:
+                if error.errno not in TRANSIENT_ERRNOS:
                     raise
         call(*args)
 
 
 class MonotonicReactor(EPollReactor):
-    """An epoll reactor whose ``seconds`` never step, and that outlives a moment's want of memory."""
+    """An epoll reactor whose ``seconds`` never steps, and which survives a transient shortage of memory."""
 
     seconds = staticmethod(time.monotonic)
 
     def __init__(self) -> None:
         cast(Any, super()).__init__()
-        # Nothing but the waker is registered yet: it is registered anew with the poller that is kept.
-        twisted, self._poller = self._poller, PatientPoller(1024)
+        # Only the waker is registered so far; it is registered again with the poller that replaces Twisted's.
+        twisted_poller, self._poller = self._poller, RetryingPoller(1024)
         for descriptor, _ in list(self._selectables.items()):
             self._poller.register(descriptor, select.EPOLLIN)
-        twisted.close()
+        twisted_poller.close()
 
     def connectTCP(  # noqa: N802
         self,
@@ -78,18 +78,20 @@
         timeout: float = 30,
         bindAddress: Any = None,  # noqa: N803
     ) -> Any:
-        """Open a connection whose reads and writes outlive a moment's want of memory."""
-        connector = PatientConnector(host, port, factory, timeout, bindAddress, self)
+        """Open a connection whose reads and writes survive transient errors."""
+        connector = RetryingConnector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
 
 def install() -> Reactor:
-    """Make it the process's reactor, once, and return it; raise RuntimeError where another one is installed."""
+    """Install the process's reactor once and return it; raise RuntimeError if another one is installed."""
     installed = sys.modules.get("twisted.internet.reactor")
     if installed is None:
         installReactor(cast(Any, MonotonicReactor)())
         installed = sys.modules["twisted.internet.reactor"]
     if not isinstance(installed, MonotonicReactor):
-        raise RuntimeError(f"timers would run on the wall clock: {type(installed).__name__} is installed already")
+        raise RuntimeError(
+            f"{type(installed).__name__} is installed already: its timers would depend on the wall clock"
+        )
     return cast(Reactor, installed)
--- a/scaledeal/net/ports.py
+++ b/scaledeal/net/ports.py
@@ -1,4 +1,4 @@
-"""What the relay uses of Twisted, as plain types: the reactor, its timers and transports."""
+"""The parts of Twisted that the relay uses, as protocols: the reactor, its timers and transports."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Take the call back."""
+        """Cancel the call."""
 
     def active(self) -> bool:
-        """Tell whether it is still to come."""
+        """Return whether the call is still pending."""
 
 
 class Port(Protocol):
     """A listening socket."""
 
     def startListening(self) -> None:  # noqa: N802
-        """Open it."""
+        """Open the socket."""
 
     def getHost(self) -> Any:  # noqa: N802
-        """Return the address, with the port in fact taken."""
+        """Return the address, with the port number that the system chose if 0 was requested."""
 
     def stopListening(self) -> object:  # noqa: N802
-        """Close it."""
+        """Close the socket."""
 
     def fileno(self) -> int:
-        """Return its descriptor."""
+        """Return the socket's descriptor."""
 
     def stopReading(self) -> None:  # noqa: N802
-        """Take no connections."""
+        """Stop accepting connections."""
 
     def startReading(self) -> None:  # noqa: N802
-        """Take connections again."""
+        """Start to accept connections again."""
 
 
 class Connector(Protocol):
     """A connection that is being opened."""
 
     def stopConnecting(self) -> None:  # noqa: N802
-        """Give it up; the factory hears of it as of a failure."""
+        """Cancel the connect; the factory is called as for a failed one."""
 
 
 class Transport(Protocol):
@@ -51,19 +51,19 @@
     bufferSize: int  # noqa: N815
 
     def doRead(self) -> object:  # noqa: N802
-        """Read what has come, and hand it on."""
+        """Read the received data, and deliver it to the protocol."""
 
     def doWrite(self) -> object:  # noqa: N802
-        """Write of what is queued as much as the peer takes now."""
+        """Write as much of the queued data as the system takes now."""
 
     def write(self, data: bytes) -> None:
-        """Queue bytes."""
+        """Queue data."""
 
     def loseConnection(self) -> None:  # noqa: N802
-        """Write what is queued, then close."""
+        """Write the queued data, then close."""
 
     def loseWriteConnection(self) -> None:  # noqa: N802
-        """Write what is queued, then end the sending."""
+        """Write the queued data, then end the sending."""
 
     def abortConnection(self) -> None:  # noqa: N802
         """Reset the connection."""
@@ -72,53 +72,53 @@
         """Stop reading."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read on."""
+        """Resume reading."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802
-        """Name who is to pause while too much is queued."""
+        """Register the producer that is paused while too much data is queued."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Forget that."""
+        """Unregister the producer."""
 
     def getHandle(self) -> Any:  # noqa: N802
         """Return the socket."""
 
     def stopReading(self) -> None:  # noqa: N802
-        """Have the reactor read it no more."""
+        """Stop the reactor from reading the socket."""
 
     def stopWriting(self) -> None:  # noqa: N802
-        """Have the reactor write it no more."""
+        """Stop the reactor from writing to the socket."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
         """Send short lines at once."""
 
 
 class Reactor(Protocol):
-    """The part of Twisted's reactor that is used here."""
+    """The part of Twisted's reactor that the relay uses."""
 
     def callLater(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:  # noqa: N802
-        """Call after so many seconds."""
+        """Call ``call`` after ``delay`` seconds."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float) -> Connector:  # noqa: N802
-        """Open a connection."""
+        """Open a TCP connection; ``timeout`` is in seconds."""
 
     def connectUNIX(self, address: str, factory: Any, timeout: float) -> Connector:  # noqa: N802
-        """Open a connection to a Unix socket."""
+        """Open a connection to a Unix socket; ``timeout`` is in seconds."""
 
     def adoptStreamConnection(self, descriptor: int, family: int, factory: Any) -> object:  # noqa: N802
-        """Go on with a connection that stands."""
+        """Take over an established connection by its descriptor."""
 
     def getWriters(self) -> list[Any]:  # noqa: N802
-        """Return the transports that have something to write."""
+        """Return the transports that have data to write."""
 
     def callWhenRunning(self, call: Callable[..., object], *args: Any) -> object:  # noqa: N802
-        """Call once the reactor runs."""
+        """Call ``call`` once the reactor runs."""
 
     def callFromThread(self, call: Callable[..., object]) -> object:  # noqa: N802
-        """Call from the reactor's loop; a signal handler may ask for it."""
+        """Call ``call`` from the reactor's loop; this may be requested by another thread or a signal handler."""
 
     def run(self, installSignalHandlers: bool = True) -> None:  # noqa: N803
         """Run until stopped."""
 
     def stop(self) -> None:
-        """End the program."""
+        """Stop the reactor, which ends the program."""
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -227,7 +227,7 @@
                 if left == 0 or getattr(error.socketError, "errno", None) not in SHORTAGES:
                     # And against a trace and an exit code of its own where the address is taken or not ours.
                     raise told.ConfigError(f"{what}: {error}") from None
-                self.system.wait(LISTEN_PAUSE)
+                self.system.sleep(LISTEN_PAUSE)
         return port
 
     def _give_up(self, why: told.ConfigError) -> None:
