--- a/tests/shimmed.py
+++ b/tests/shimmed_relay.py
@@ -1,4 +1,4 @@
-"""A relay process under the fault shim, as a fixture for the tests of stepped clocks and failing calls."""
+"""A relay process under the fault shim, for the tests of clock steps and failing system calls."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from scaledeal.lab.soak.shim import Call, FaultControl, ShimUnavailableError, build
 
 
-class ShimmedWorld(World):
+class ShimmedRelay(World):
     """A relay whose wall clock and system calls the test controls."""
 
-    def __init__(self, folder: Path, sockets_fail: float) -> None:
+    def __init__(self, folder: Path, socket_failure_share: float) -> None:
         self.faults = FaultControl(build(folder), folder / "faults", seed=7)
-        self.faults.fail(Call.SOCKET, sockets_fail)
+        self.faults.fail(Call.SOCKET, socket_failure_share)
         super().__init__(folder)
 
     def run(self) -> None:
@@ -26,10 +26,10 @@
 
 
 @contextmanager
-def shimmed(folder: Path, sockets_fail: float = 0.0) -> Iterator[ShimmedWorld]:
-    """Start one, and end it; ``sockets_fail`` is the share of ``socket`` calls that fail from the first moment on."""
+def shimmed_relay(folder: Path, socket_failure_share: float = 0.0) -> Iterator[ShimmedRelay]:
+    """Start a relay and kill it at the end; ``socket_failure_share`` of its ``socket`` calls fail from its start on."""
     try:
-        world = ShimmedWorld(folder, sockets_fail)
+        world = ShimmedRelay(folder, socket_failure_share)
     except ShimUnavailableError as error:
         pytest.skip(str(error))
     try:
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents: no connection is closed unread, and no traceback is logged."""
+"""System calls that fail with errors documented for Linux: no connection is closed unread, no traceback is logged."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import pytest
 from netfakes import OneRelay
-from shimmed import ShimmedWorld, shimmed
+from shimmed_relay import ShimmedRelay, shimmed_relay
 from test_relay_process import ask
 from twisted.internet.protocol import ServerFactory
 
@@ -20,12 +20,12 @@
 from scaledeal.net.monotonic_reactor import MonotonicReactor
 from scaledeal.net.socket_errors import AcceptAction, AcceptErrors, is_local_failure
 
-FAILING = 0.4  # share of calls
+FAILING_SHARE = 0.4  # of the calls
 
 
 @pytest.fixture()
-def failing(tmp_path: Path) -> Iterator[ShimmedWorld]:
-    with shimmed(tmp_path) as world:
+def failing(tmp_path: Path) -> Iterator[ShimmedRelay]:
+    with shimmed_relay(tmp_path) as world:
         yield world
 
 
@@ -33,8 +33,8 @@
     "call",
     [Call.ACCEPT, Call.RECV, Call.SEND, Call.WAIT, Call.SHORT_RECV, Call.SHORT_SEND, Call.POLL_CHANGE, Call.OPTION],
 )
-def test_every_request_is_answered_while_a_call_fails(failing: ShimmedWorld, call: Call) -> None:
-    failing.faults.fail(call, FAILING)
+def test_every_request_is_answered_while_a_call_fails(failing: ShimmedRelay, call: Call) -> None:
+    failing.faults.fail(call, FAILING_SHARE)
     for number in range(1, 41):
         client = failing.client(ask(number))
         server, first = failing.asked()
@@ -52,22 +52,22 @@
     assert "Traceback" not in log and "Unhandled" not in log and "invariants: none violated" in log, log
 
 
-def test_a_start_waits_for_the_sockets_that_it_needs(tmp_path: Path) -> None:
-    with shimmed(tmp_path, sockets_fail=0.7) as world:
+def test_a_starting_relay_retries_until_its_sockets_are_open(tmp_path: Path) -> None:
+    with shimmed_relay(tmp_path, socket_failure_share=0.7) as world:
         assert world.port and world.faults.failed(Call.SOCKET) > 2
 
 
-def test_a_new_configuration_is_read_again_after_a_shortage(
+def test_a_reload_is_retried_after_a_shortage(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     one = OneRelay(tmp_path)
     one.path.write_text(json.dumps({**one.written, "discovery": "127.0.0.8:8"}))
-    sound, failures = config._file, [errno.ENFILE, errno.EIO, errno.ENOMEM]
+    read_file, failures = config._file, [errno.ENFILE, errno.EIO, errno.ENOMEM]
 
     def failing_file(environment: Any) -> Any:
         if failures:
             raise config.ShortageError(f"PROXY_CONFIG: {failures.pop()}")
-        return sound({"PROXY_CONFIG": str(one.path)})
+        return read_file({"PROXY_CONFIG": str(one.path)})
 
     monkeypatch.setattr(config, "_file", failing_file)
     with caplog.at_level(logging.INFO):
@@ -76,7 +76,7 @@
     assert not failures and "discovery is now at 127.0.0.8:8" in caplog.text and "not taken" not in caplog.text
 
 
-def test_a_file_that_can_not_be_read_now_is_told_from_one_that_is_bad(
+def test_a_file_that_is_unreadable_for_a_shortage_raises_shortage_error(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def read_bytes(path: Path) -> bytes:
@@ -88,12 +88,12 @@
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_shortage_leaves_connections_in_the_queue(number: int) -> None:
+def test_after_a_shortage_accept_is_retried_later_and_connect_counts_as_local_failure(number: int) -> None:
     assert AcceptErrors().action(number) is AcceptAction.RETRY_LATER and is_local_failure(number)
 
 
 @pytest.mark.parametrize("number", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.EINTR, errno.ENONET, 9999])
-def test_an_error_of_one_connection_is_no_reason_to_wait(number: int, caplog: pytest.LogCaptureFixture) -> None:
+def test_after_an_error_of_one_connection_accept_is_retried_now(number: int, caplog: pytest.LogCaptureFixture) -> None:
     errors = AcceptErrors()
     assert errors.action(number) is errors.action(number) is AcceptAction.RETRY_NOW
     assert ("9999, which is not documented" in caplog.text) == (number == 9999) and not is_local_failure(
@@ -101,8 +101,8 @@
     )
 
 
-def test_a_pause_ends_with_the_listening() -> None:
-    # Guards against a port that reads on after it was told to read no more, as a pause for want of descriptors ends.
+def test_stop_reading_also_cancels_a_pause() -> None:
+    # The end of a pause for lack of descriptors must not make a port read that was told to stop reading.
     from scaledeal.net.client_listener import ClientListener
 
     reactor: Any = cast(Any, MonotonicReactor)()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals in series, and at moments when nobody expects them."""
+"""Signals sent in quick succession, before the reactor runs and while the process exits."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from netfakes import SITE
 from test_relay_process import PATIENCE, ROOT
 
-SERIES = 1000  # signals at most
-APART = 0.002  # seconds between two: in a row without a pause the process has no time left to end
+MAX_SIGNALS = 1000
+SIGNAL_INTERVAL_S = 0.002  # without a pause between signals the process has no time left to exit
 
 
 def start(folder: Path) -> subprocess.Popen[str]:
-    """Start a relay whose discovery is closed, and return it as soon as it has logged a line."""
+    """Start a relay whose discovery refuses connections, and return its process."""
     with socket.create_server(("127.0.0.1", 0)) as closed:
         discovery = f"127.0.0.1:{closed.getsockname()[1]}"
     path = folder / "c.json"
@@ -32,30 +32,31 @@
 
 
 def log_until(process: subprocess.Popen[str], word: str) -> str:
+    """Return the log up to the first line that contains ``word``; fail if the log ends before."""
     assert process.stderr is not None
-    told = ""
-    while word not in told:
+    log = ""
+    while word not in log:
         line = process.stderr.readline()
-        assert line, told
-        told += line
-    return told
+        assert line, log
+        log += line
+    return log
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_signals_that_come_as_the_process_ends_do_not_kill_it(tmp_path: Path, number: signal.Signals) -> None:
+def test_signals_during_the_exit_do_not_kill_the_process(tmp_path: Path, number: signal.Signals) -> None:
     process = start(tmp_path)
     log_until(process, "listens on")
     process.send_signal(signal.SIGTERM)
     log_until(process, "stopped:")
-    for _ in range(SERIES):
+    for _ in range(MAX_SIGNALS):
         process.send_signal(number)
         with suppress(subprocess.TimeoutExpired):
-            process.wait(APART)
+            process.wait(SIGNAL_INTERVAL_S)
             break
     assert process.wait(PATIENCE) == 0
 
 
-def test_a_relay_that_is_told_to_end_before_it_turns_ends_in_order(tmp_path: Path) -> None:
+def test_a_sigterm_before_the_reactor_runs_ends_the_relay_in_order(tmp_path: Path) -> None:
     process = start(tmp_path)
     log_until(process, "operators call")  # logged before the reactor runs
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
