--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -1,4 +1,4 @@
-"""Runs the decision module on a real clock: feeds it events and carries out its actions, without own decisions.
+"""Runs the decision module on a real clock: passes events to it and carries out its actions, deciding nothing itself.
 
 The driver deals with transactions, application servers and times; it does not know the protocols that carry them.
 """
@@ -112,7 +112,7 @@
         except Exception:  # the process goes on: its requests still get their answers
             log.exception("decision module failed on %s", type(event).__name__)
             if isinstance(event, api.Timer):
-                self.later(250_000_000, lambda: self.post(event))
+                self.later(250_000_000, lambda: self.post(event))  # ns
             return
         if self.trace is not None:
             self.trace.event_handled(self.now(), event, actions, self.balancer)
