--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -235,6 +235,6 @@
         raise OSError(28, "No space left on device")
 
     trace = Trace("n0", write_to_full_disk, 0)
-    trace.put(1, "watch")
-    trace.put(2, "watch")
+    trace.write_line(1, "watch")
+    trace.write_line(2, "watch")
     assert len(written) == 1, "the trace was still written after the disk was full"
