--- a/scaledeal/net/config.py
+++ b/scaledeal/net/config.py
@@ -1,4 +1,4 @@
-"""What the relay is told at its start: the environment and the JSON file that it names."""
+"""The configuration of a relay: environment variables, and the JSON file that PROXY_CONFIG names."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class ConfigError(Exception):
-    """The relay can't start with what it was told; the text is one plain line."""
+    """The configuration is invalid or can't be read; the text is one plain line with the setting and the reason."""
 
 
 class ShortageError(ConfigError):
-    """The file could not be read now, for want of descriptors, memory or a sound disk: it may be in a moment."""
+    """The file can't be read now, for a shortage of descriptors or memory or a disk error; a retry may succeed."""
 
 
 class Address(msgspec.Struct, frozen=True):
@@ -53,45 +53,46 @@
 
 
 class Config(msgspec.Struct, frozen=True):
-    """The start of one relay, checked."""
+    """The checked configuration of one relay."""
 
     name: str
     listen: Address
     discovery: Address
-    admin: Address | None  # where operators call; none where that is not stated
-    trace: str  # the file that what is decided is written to, - for standard error; empty where it is not
-    folder: Path | None  # the one that the processes of this relay share; none where that is not stated
+    admin: Address | None  # where operators call; None if not configured
+    trace: str  # file for the trace of decisions, - for standard error; empty for no trace
+    folder: Path | None  # shared by the processes of this relay, for handover sockets; None if not configured
     seed: int
-    sockets: int  # descriptors that this process may hold; 0 where that is not stated
+    sockets: int  # descriptors that this process may hold; 0 if not configured
     known: Roster
     document: Document
     settings: api.Settings
 
 
-def address(text: str, what: str) -> Address:
-    """Read host:port."""
+def parse_address(text: str, setting: str) -> Address:
+    """Parse host:port; raise ConfigError with the name of the ``setting`` if the text is not of that form."""
     host, colon, port = text.rpartition(":")
     if not (colon and _HOST.fullmatch(host) and port.isdecimal() and 0 <= int(port) < 65536):
-        raise ConfigError(f"{what}: host:port was expected, not {text!r}")
+        raise ConfigError(f"{setting}: host:port was expected, not {text!r}")
     return Address(host.strip("[]"), int(port))
 
 
-def _seed(given: str | int) -> int:
-    """Return the seed as a number; any text will do."""
-    if isinstance(given, int):
-        return given
-    return int.from_bytes(blake2b(given.encode(), digest_size=8).digest(), "big")
+def _seed_number(seed: str | int) -> int:
+    """Return the seed as a number; a text is hashed."""
+    if isinstance(seed, int):
+        return seed
+    return int.from_bytes(blake2b(seed.encode(), digest_size=8).digest(), "big")
 
 
-def _file(environment: Mapping[str, str]) -> tuple[_File, api.Settings]:
+def _read_file(environment: Mapping[str, str]) -> tuple[_File, api.Settings]:
+    """Read and check the file that PROXY_CONFIG names; raise ConfigError if it is unreadable or invalid."""
     path = environment.get("PROXY_CONFIG", "")
     if not path:
         raise ConfigError("PROXY_CONFIG: is missing")
     try:
         file = msgspec.json.decode(Path(path).read_bytes(), type=_File)
     except OSError as error:
-        kind = ShortageError if error.errno in SHORTAGES or error.errno == errno.EIO else ConfigError
-        raise kind(f"PROXY_CONFIG: {path}: {error.strerror}") from None
+        error_type = ShortageError if error.errno in SHORTAGES or error.errno == errno.EIO else ConfigError
+        raise error_type(f"PROXY_CONFIG: {path}: {error.strerror}") from None
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise ConfigError(f"PROXY_CONFIG: {path}: {error}") from None
     try:
@@ -109,17 +110,17 @@
 
 
 def read(environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the start; the environment's values go before the file's."""
-    file, settings = _file(environment)
+    """Read the configuration; values of the environment override those of the file."""
+    file, settings = _read_file(environment)
     admin = environment.get("PROXY_ADMIN") or file.admin
     return Config(
         name=environment.get("PROXY_NAME") or file.name or "relay",
-        listen=address(environment.get("PROXY_LISTEN") or file.listen, "PROXY_LISTEN"),
-        discovery=address(environment.get("PROXY_DISCOVERY") or file.discovery, "PROXY_DISCOVERY"),
-        admin=address(admin, "PROXY_ADMIN") if admin else None,
+        listen=parse_address(environment.get("PROXY_LISTEN") or file.listen, "PROXY_LISTEN"),
+        discovery=parse_address(environment.get("PROXY_DISCOVERY") or file.discovery, "PROXY_DISCOVERY"),
+        admin=parse_address(admin, "PROXY_ADMIN") if admin else None,
         trace=environment.get("PROXY_TRACE", ""),
         folder=Path(environment["TMPDIR"]) if environment.get("TMPDIR") else None,
-        seed=_seed(file.seed),
+        seed=_seed_number(file.seed),
         sockets=file.limits.sockets,
         known=file.known,
         document=file.settings,
@@ -127,13 +128,13 @@
     )
 
 
-def read_again(before: Config, environment: Mapping[str, str] = os.environ) -> Config:
-    """Read the file again while running: its ``discovery`` takes over, all else waits for the next start.
+def read_again(current: Config, environment: Mapping[str, str] = os.environ) -> Config:
+    """Read the file again while the relay runs; only its ``discovery`` takes effect, all else waits for a restart.
 
-    Guards against a file that can't be obeyed for as long as PROXY_DISCOVERY goes before it, as it does at
-    the start: the environment of a running process can't be changed, the file can.
+    PROXY_DISCOVERY overrides the file only at the start: as the environment of a running process can't be changed,
+    it would otherwise keep the file's new address from ever taking effect. Errors are raised as by ``read``.
     """
-    file, _ = _file(environment)
+    file, _ = _read_file(environment)
     if not file.discovery:
-        return before
-    return msgspec.structs.replace(before, discovery=address(file.discovery, "discovery"))
+        return current
+    return msgspec.structs.replace(current, discovery=parse_address(file.discovery, "discovery"))
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from scaledeal import interface as api
-from scaledeal.net.config import ConfigError, address
+from scaledeal.net.config import ConfigError, parse_address
 from scaledeal.net.delays import Delays
 from scaledeal.net.figures import EndCause, Figures
 from scaledeal.net.invariants import Invariants
@@ -286,7 +286,7 @@
     sound = {}
     for server, told in addresses.items():
         try:
-            address(told, f"address of {server}")
+            parse_address(told, f"address of {server}")
             sound[server] = told
         except ConfigError as error:
             log.warning("list not taken in full: %s", error)
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -102,7 +102,7 @@
 
     def start(self) -> None:
         """Request the socket from an old process, or bind it; raise ConfigError if that fails."""
-        self.handover.begin(self.relay.config.folder, config.address(self.quic.listen, "quic.listen"))
+        self.handover.begin(self.relay.config.folder, config.parse_address(self.quic.listen, "quic.listen"))
 
     def serve(self) -> None:
         """Start serving datagrams, and start the periodic checks."""
--- a/scaledeal/quic/sockets/upstream.py
+++ b/scaledeal/quic/sockets/upstream.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from scaledeal.net.config import address as parse_address
+from scaledeal.net.config import parse_address
 from scaledeal.net.ports import Reactor
 from scaledeal.quic.core.table import Path
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -62,14 +62,14 @@
 ) -> None:
     one = OneRelay(tmp_path)
     one.path.write_text(json.dumps({**one.written, "discovery": "127.0.0.8:8"}))
-    sound, failures = config._file, [errno.ENFILE, errno.EIO, errno.ENOMEM]
+    sound, failures = config._read_file, [errno.ENFILE, errno.EIO, errno.ENOMEM]
 
     def failing_file(environment: Any) -> Any:
         if failures:
             raise config.ShortageError(f"PROXY_CONFIG: {failures.pop()}")
         return sound({"PROXY_CONFIG": str(one.path)})
 
-    monkeypatch.setattr(config, "_file", failing_file)
+    monkeypatch.setattr(config, "_read_file", failing_file)
     with caplog.at_level(logging.INFO):
         one.relay.reload()
         one.run(0.3)
