--- a/scaledeal/net/carry.py
+++ b/scaledeal/net/carry.py
@@ -1,7 +1,8 @@
-"""Carries connections that stand from the old process of a relay to the new one, sockets and all.
+"""Hands established connections, with their sockets, from the old process of a relay to the new one.
 
-The old process reads nothing of them once they are handed, and lets go of them when the new one has
-them; so no line is lost or said twice, and neither side of the connection notices.
+The old process stops reading a connection's sockets when it hands them over, and closes its own descriptors once the
+new process has confirmed that it has the connection. No line is lost or repeated, and neither the client nor the
+application server notices the change.
 """
 
 from __future__ import annotations
@@ -17,92 +18,106 @@
 from scaledeal.net import wording
 from scaledeal.net.attempt import LineAttempt
 from scaledeal.net.driver import Driver
-from scaledeal.net.handover import Handed, Offer
+from scaledeal.net.handover import HandedConnection, Offer
 from scaledeal.net.ports import Reactor, Timer
 from scaledeal.net.transaction import Transaction
 from scaledeal.net.user_agent import Reception, UserAgent, asked
 
 log = logging.getLogger("scaledeal.carry")
 
-STEP = 20_000_000  # ns between two rounds
-AT_ONCE = 8  # connections handed over in one, so that lines on the others are not held up
+ROUND_INTERVAL_NS = 20_000_000
+CONNECTIONS_PER_ROUND = 8  # more at once would delay the lines of the other connections
 
 
 class Carrier:
-    """The old side: owns what is handed over until the new process has it."""
+    """The old process's side: owns each connection that is handed over until the new process has confirmed it."""
 
     def __init__(self, driver: Driver, offer: Offer) -> None:
         self.driver = driver
         self.offer = offer
-        self.out: dict[str, Transaction] = {}
+        self.unconfirmed: dict[str, Transaction] = {}
         self._timer: Timer | None = None
 
-    def round(self) -> None:
-        """Hand over some of what stands; what comes up or falls quiet later goes with a later round."""
+    def run_round(self) -> None:
+        """Hand over some established connections, and schedule the next round.
+
+        Later rounds take those that are established, or have no lines under way any more, only by then. Without a
+        successor this does nothing.
+        """
         successor = self.offer.successor
         if successor is None:
             return
-        self._timer = self.driver.later(STEP, self.round)
+        self._timer = self.driver.later(ROUND_INTERVAL_NS, self.run_round)
         handed = 0
         for transaction in self.driver.standing():
-            if handed < AT_ONCE and (carried := transaction.hand_over()):
+            if handed < CONNECTIONS_PER_ROUND and (carried := transaction.hand_over()):
                 handed += 1
-                self.out[transaction.handle] = transaction
+                self.unconfirmed[transaction.handle] = transaction
                 load = self.driver.load_lines.loads.get(transaction.handle, 0.0)
-                successor.hand(Handed(transaction.handle, transaction.server, load, carried.state), carried.descriptors)
+                successor.hand_over(
+                    HandedConnection(transaction.handle, transaction.server, load, carried.state), carried.descriptors
+                )
 
-    def taken(self, handle: str) -> None:
-        """Hear that the new process has one."""
-        if transaction := self.out.pop(handle, None):
+    def connection_taken(self, handle: str) -> None:
+        """Release a connection that the new process has confirmed."""
+        if transaction := self.unconfirmed.pop(handle, None):
             transaction.let_go()
 
-    def lost(self) -> None:
-        """Hear that the new process is gone: what it has not taken goes on here."""
+    def successor_lost(self) -> None:
+        """Stop, as the new process is gone, and go on here with each connection that it has not confirmed."""
         self.stop()
-        for transaction in self.out.values():
+        for transaction in self.unconfirmed.values():
             transaction.keep()
-        self.out.clear()
+        self.unconfirmed.clear()
 
     def stop(self) -> None:
-        """Hand nothing more over."""
+        """Hand over no more connections."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
 
-class _Given(Factory):
+class _SingleProtocolFactory(Factory):
+    """Returns the protocol that was made for an adopted connection."""
+
     noisy = False
 
     def __init__(self, protocol: Protocol) -> None:
-        self.protocol_given = protocol
+        self.adopting_protocol = protocol
 
     def buildProtocol(self, addr: Any) -> Protocol:  # noqa: N802, D102
-        return self.protocol_given
+        return self.adopting_protocol
 
 
 def _adopt(reactor: Reactor, descriptor: int, protocol: Protocol) -> None:
+    """Connect a protocol to a duplicate of a connected socket; the descriptor remains the caller's."""
     with socket.socket(fileno=os.dup(descriptor)) as sock:
         family = sock.family
-    reactor.adoptStreamConnection(descriptor, family, _Given(protocol))
+    reactor.adoptStreamConnection(descriptor, family, _SingleProtocolFactory(protocol))
+
 
+def resume(reception: Reception, driver: Driver, connection: HandedConnection, descriptors: tuple[int, int]) -> bool:
+    """Go on with a connection that was handed over, and return whether that succeeded.
 
-def resume(reception: Reception, driver: Driver, told: Handed, descriptors: tuple[int, int]) -> bool:
-    """Go on with a connection that was handed over; False where that can't be done."""
+    ``descriptors`` are the client's socket and the application server's; they remain the caller's.
+    """
     try:
-        paused = msgspec.json.decode(told.state, type=wording.Paused)
-        read = wording.read_open(paused.line)
-        number = reception.classes.get(read.get("c")) if read else None
-        tenant = reception.tenant(read) if read else None
-        if read is None or number is None or tenant is None:
-            raise ValueError(f"no request of this relay: {paused.line!r}")
+        paused = msgspec.json.decode(connection.state, type=wording.Paused)
+        open_line = wording.read_open(paused.line)
+        class_number = reception.classes.get(open_line.get("c")) if open_line else None
+        tenant = reception.tenant(open_line) if open_line else None
+        if open_line is None or class_number is None or tenant is None:
+            raise ValueError(f"first line does not fit this relay's settings: {paused.line!r}")
         agent = UserAgent(reception)
         _adopt(reception.context.reactor, descriptors[0], agent)
     except (msgspec.MsgspecError, ValueError, OSError) as error:
-        log.warning("a connection that was handed over is not taken: %s", error)
+        log.warning("connection from the old process not taken: %s", error)
         return False
-    transaction = driver.resume(asked(read, number, tenant, driver.now()), agent, told.server, told.load)
+    transaction = driver.resume(
+        asked(open_line, class_number, tenant, driver.now()), agent, connection.server, connection.load
+    )
     current = LineAttempt(reception.context, paused.line, agent, transaction)
     transaction.current = current
-    agent.resumed(read, transaction, current)
+    agent.resumed(open_line, transaction, current)
     current.resumed(paused.asked_at)
     _adopt(reception.context.reactor, descriptors[1], current.link)
     agent.paired_with(current.link)
--- a/scaledeal/net/handover.py
+++ b/scaledeal/net/handover.py
@@ -1,7 +1,11 @@
-"""Hands the listening socket from a relay that serves to a new version of it, over a Unix socket in $TMPDIR.
+"""Hands the listening socket from a serving relay process to its new version, over a Unix socket in $TMPDIR.
 
-There is one queue of connections all the time, so nobody in it meets a closed door. The new process claims
-the socket; the old one offers it, and tells how many descriptors it leaves to the new one.
+Both processes use the same listening socket, so clients in its queue are never refused. The old process offers the
+socket and the new one claims it; from then on the old process reports how many descriptors it leaves to the new one,
+and its established connections, and may hand those over too.
+
+The new process receives file descriptors and lines of JSON: ``spare``, ``stands``, ``left`` and ``handed``. It sends
+``taken`` and ``serving``. These tags and the fields are the protocol between two builds.
 """
 
 from __future__ import annotations
@@ -25,32 +29,32 @@
 from zope.interface import implementer
 
 from scaledeal.net.config import Address
-from scaledeal.net.inherited import Standing
-from scaledeal.net.offers import next_offer
+from scaledeal.net.inherited import EstablishedConnection
+from scaledeal.net.offers import next_offer_path
 from scaledeal.net.ports import Port, Reactor, Timer
 
 log = logging.getLogger("scaledeal.handover")
 
-PATIENCE = 2.0  # seconds that the old process gets to hand its socket over
-TRIES = 4  # offers that are tried, the newest first
-LONGEST = 1 << 15  # bytes of the longest word between them: three lines of a client's, encoded
-TELL = 0.2  # seconds between two words on the descriptors left over
+SOCKET_TIMEOUT_S = 2.0  # for the old process to accept the claim, and then to hand its socket over
+MAX_OFFERS_TRIED = 4  # the newest first
+MAX_MESSAGE_BYTES = 1 << 15  # the longest message holds three lines of a client, encoded
+UPDATE_INTERVAL_S = 0.2  # between two reports of spare descriptors and established connections
 
 
-class Passing(msgspec.Struct, frozen=True, tag="spare"):
-    """What the old process says: how many descriptors the new one may hold."""
+class SpareDescriptors(msgspec.Struct, frozen=True, tag="spare"):
+    """Sent by the old process: how many descriptors the new one may hold."""
 
     spare: int
 
 
-class Left(msgspec.Struct, frozen=True, tag="left"):
-    """What the old process says of a connection that has ended there."""
+class ConnectionEnded(msgspec.Struct, frozen=True, tag="left"):
+    """Sent by the old process: a connection that it had reported is no longer established there."""
 
     handle: str
 
 
-class Handed(msgspec.Struct, frozen=True, tag="handed"):
-    """What the old process says of a connection whose sockets it has passed just before."""
+class HandedConnection(msgspec.Struct, frozen=True, tag="handed"):
+    """Sent by the old process: a connection whose two sockets it has sent just before."""
 
     handle: str
     server: str
@@ -58,87 +62,89 @@
     state: bytes
 
 
-class Taken(msgspec.Struct, frozen=True, tag="taken"):
-    """What the new process says once it has that."""
+class ConnectionTaken(msgspec.Struct, frozen=True, tag="taken"):
+    """Sent by the new process: it goes on with a connection that was handed over."""
 
     handle: str
 
 
 class Serving(msgspec.Struct, frozen=True, tag="serving"):
-    """What the new process says once it takes clients."""
+    """Sent by the new process: it accepts clients."""
 
 
-_of_predecessor = msgspec.json.Decoder(Passing | Standing | Left | Handed)
-_of_successor = msgspec.json.Decoder(Serving | Taken)
+_predecessor_decoder = msgspec.json.Decoder(
+    SpareDescriptors | EstablishedConnection | ConnectionEnded | HandedConnection
+)
+_successor_decoder = msgspec.json.Decoder(Serving | ConnectionTaken)
 
 
-class Place(msgspec.Struct, frozen=True):
-    """Where the offers of the relay at one address lie."""
+class OfferLocation(msgspec.Struct, frozen=True):
+    """Where the offers of the relay at one address are found."""
 
     folder: Path
     listen: Address
 
     @property
     def prefix(self) -> str:
-        """Return how the names of these offers begin."""
-        where = f"{self.listen.host}:{self.listen.port}".encode()
-        return f"sd-{blake2b(where, digest_size=4).hexdigest()}-"
+        """Return the common prefix of these offers' file names."""
+        address = f"{self.listen.host}:{self.listen.port}".encode()
+        return f"sd-{blake2b(address, digest_size=4).hexdigest()}-"
 
     def offers(self) -> list[str]:
-        """Return the offers that may be alive, the newest first."""
+        """Return the paths of the offers that may be alive, the newest first."""
         found = []
         with contextlib.suppress(OSError):
             for entry in self.folder.iterdir():
-                # Guards against files that others left under such a name: only sockets of our own are tried.
+                # Others may have left files under such a name, so only sockets that this user owns are tried.
                 with contextlib.suppress(OSError):
-                    about = entry.lstat()
-                    mine = stat.S_ISSOCK(about.st_mode) and about.st_uid == os.geteuid()
-                    if mine and entry.name.startswith(self.prefix):
+                    status = entry.lstat()
+                    own_socket = stat.S_ISSOCK(status.st_mode) and status.st_uid == os.geteuid()
+                    if own_socket and entry.name.startswith(self.prefix):
                         found.append(str(entry))
-        return sorted(found, reverse=True)[:TRIES]
+        return sorted(found, reverse=True)[:MAX_OFFERS_TRIED]
 
 
-class Giver(Protocol):
-    """The relay that offers."""
+class OfferingRelay(Protocol):
+    """The old process's relay, as its offer sees it."""
 
-    def listening(self) -> int:
+    def listening_descriptor(self) -> int:
         """Return the descriptor of the listening socket."""
 
-    def spare(self) -> int:
+    def spare_descriptors(self) -> int:
         """Return how many descriptors a successor may hold."""
 
-    def standing(self) -> dict[str, Standing]:
-        """Return the connections that stand here."""
+    def established_connections(self) -> dict[str, EstablishedConnection]:
+        """Return this process's established connections, by handle."""
 
-    def succeeded(self, there: bool, serving: bool) -> None:
-        """Hear whether a successor is there, and whether it serves."""
+    def successor_changed(self, connected: bool, serving: bool) -> None:
+        """Handle a change of whether a successor is connected, and whether it accepts clients."""
 
-    def taken(self, handle: str) -> None:
-        """Hear that the successor has a connection that was handed over."""
+    def connection_taken(self, handle: str) -> None:
+        """Handle the successor's confirmation that it has a connection that was handed over."""
 
 
 class Offer(ServerFactory):
-    """The old side: owns the Unix socket, and knows its one successor."""
+    """The old process's side: owns the Unix socket, and accepts one successor at a time."""
 
     noisy = False
 
-    def __init__(self, reactor: Reactor, place: Place, giver: Giver) -> None:
+    def __init__(self, reactor: Reactor, location: OfferLocation, relay: OfferingRelay) -> None:
         self.reactor = reactor
-        self.place = place
-        self.giver = giver
+        self.location = location
+        self.relay = relay
         self.successor: Successor | None = None
         self.port: Port | None = None
 
     def open(self) -> None:
-        """Offer the socket from now on."""
-        path = str(next_offer(self.place.folder, self.place.prefix))
+        """Start to offer the socket; if that fails, log it."""
+        path = str(next_offer_path(self.location.folder, self.location.prefix))
         try:
             port = cast(Port, cast(Any, _OfferPort)(path, self, 4, 0o600, self.reactor))
             port.startListening()
             self.port = port
         except (CannotListenError, OSError) as error:
-            # Guards against a folder that can't be written: the relay serves without a successor.
-            log.warning("no offer to a new version: %s", error)
+            # With a folder that can't be written the relay still serves, but no new version can take over from it.
+            log.warning("listening socket not offered to a new version: %s", error)
 
     def stopListening(self) -> None:  # noqa: N802
         """Withdraw the offer and remove its file."""
@@ -156,17 +162,17 @@
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802, D102
         try:
             cast(Any, super()).connectionLost(reason)
-        except FileNotFoundError:  # somebody cleared the folder
+        except FileNotFoundError:  # the file was removed from outside
             cast(Any, tcp.Port).connectionLost(self, reason)
 
 
 class Successor(LineOnlyReceiver):
-    """The connection of a new process."""
+    """The old process's end of the connection to a new one."""
 
     def __init__(self, offer: Offer) -> None:
         self.offer = offer
-        self.told = -1
-        self.told_standing: dict[str, Standing] = {}
+        self.sent_spare = -1
+        self.sent_connections: dict[str, EstablishedConnection] = {}
         self.timer: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802, D102
@@ -174,174 +180,180 @@
             cast(Any, self.transport).loseConnection()
             return
         self.offer.successor = self
-        self.offer.giver.succeeded(True, False)
-        cast(Any, self.transport).sendFileDescriptor(self.offer.giver.listening())
-        self._tell()
+        self.offer.relay.successor_changed(True, False)
+        cast(Any, self.transport).sendFileDescriptor(self.offer.relay.listening_descriptor())
+        self._send_updates()
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802, D102
         try:
-            told = _of_successor.decode(line)
+            message = _successor_decoder.decode(line)
         except msgspec.MsgspecError:
             cast(Any, self.transport).loseConnection()
             return
         if self.offer.successor is not self:
             return
-        if isinstance(told, Taken):
-            self.offer.giver.taken(told.handle)
+        if isinstance(message, ConnectionTaken):
+            self.offer.relay.connection_taken(message.handle)
         else:
-            self.offer.giver.succeeded(True, True)
+            self.offer.relay.successor_changed(True, True)
 
-    def hand(self, told: Handed, descriptors: tuple[int, ...]) -> None:
-        """Pass a connection's sockets and what there is to say of it."""
+    def hand_over(self, connection: HandedConnection, descriptors: tuple[int, ...]) -> None:
+        """Send a connection's sockets, and then its state."""
         for descriptor in descriptors:
             cast(Any, self.transport).sendFileDescriptor(descriptor)
-        self._say(told)
+        self._send(connection)
 
     def connectionLost(self, reason: Failure = cast(Failure, None)) -> None:  # noqa: N802, B008, D102
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         if self.offer.successor is self:
             self.offer.successor = None
-            self.offer.giver.succeeded(False, False)
+            self.offer.relay.successor_changed(False, False)
+
+    def _send_updates(self) -> None:
+        """Send what has changed since the last update, and schedule the next."""
+        spare = self.offer.relay.spare_descriptors()
+        if spare != self.sent_spare:
+            self.sent_spare = spare
+            self._send(SpareDescriptors(spare))
+        connections, sent = self.offer.relay.established_connections(), self.sent_connections
+        for handle in sent.keys() - connections.keys():
+            self._send(ConnectionEnded(handle))
+        for handle, connection in connections.items():
+            if sent.get(handle) != connection:
+                self._send(connection)
+        self.sent_connections = connections
+        self.timer = self.offer.reactor.callLater(UPDATE_INTERVAL_S, self._send_updates)
 
-    def _tell(self) -> None:
-        spare = self.offer.giver.spare()
-        if spare != self.told:
-            self.told = spare
-            self._say(Passing(spare))
-        standing, before = self.offer.giver.standing(), self.told_standing
-        for handle in before.keys() - standing.keys():
-            self._say(Left(handle))
-        for handle, each in standing.items():
-            if before.get(handle) != each:
-                self._say(each)
-        self.told_standing = standing
-        self.timer = self.offer.reactor.callLater(TELL, self._tell)
+    def _send(self, message: msgspec.Struct) -> None:
+        cast(Any, self).sendLine(msgspec.json.encode(message))
 
-    def _say(self, what: msgspec.Struct) -> None:
-        cast(Any, self).sendLine(msgspec.json.encode(what))
 
+class ClaimingRelay(Protocol):
+    """The new process's relay, as its claim sees it."""
 
-class Heir(Protocol):
-    """The relay that claims."""
+    def claim_finished(self, descriptor: int | None) -> None:
+        """Take over the listening descriptor, which the callee owns from then on; None if no process offers one.
 
-    def come(self, descriptor: int | None) -> None:
-        """Take the listening descriptor, once, and own it from then on; None where nobody hands one over."""
+        Called once.
+        """
 
-    def may_hold(self, count: int | None) -> None:
-        """Hear how many descriptors the old process leaves; None once it is gone."""
+    def descriptors_left(self, count: int | None) -> None:
+        """Take how many descriptors the old process leaves to this one; None once it is gone."""
 
-    def inherit(self, told: Standing) -> None:
-        """Hear of a connection that stands at the old process, or of its load."""
+    def connection_reported(self, connection: EstablishedConnection) -> None:
+        """Handle a connection that is established at the old process, or a change of its load."""
 
-    def inherited_left(self, handle: str) -> None:
-        """Hear that one of those has ended there."""
+    def connection_ended(self, handle: str) -> None:
+        """Handle the end of a connection that the old process had reported."""
 
-    def take(self, told: Handed, descriptors: tuple[int, int]) -> bool:
-        """Go on with a connection, and tell whether that is done; the descriptors stay the caller's."""
+    def take_connection(self, connection: HandedConnection, descriptors: tuple[int, int]) -> bool:
+        """Go on with a connection, and return whether that succeeded; the descriptors remain the caller's."""
 
 
 class Claim(ClientFactory):
-    """The new side: claims the socket from whoever offers it, and hears of that process until it is gone."""
+    """The new process's side: claims the socket from a process that offers it, and follows that process to its end."""
 
     noisy = False
 
-    def __init__(self, reactor: Reactor, place: Place, heir: Heir) -> None:
+    def __init__(self, reactor: Reactor, location: OfferLocation, relay: ClaimingRelay) -> None:
         self.reactor = reactor
-        self.place = place
-        self.heir = heir
-        self.offers = place.offers()
-        self.holder: Predecessor | None = None  # who has handed it over
+        self.location = location
+        self.relay = relay
+        self.offers = location.offers()
+        self.predecessor: Predecessor | None = None  # the process that has handed its socket over
 
-    def begin(self) -> None:
-        """Try the next offer; where there is none left, there is no old process."""
+    def try_next_offer(self) -> None:
+        """Claim the next offer; without one left, there is no old process."""
         if self.offers:
-            self.reactor.connectUNIX(self.offers.pop(0), self, PATIENCE)
+            self.reactor.connectUNIX(self.offers.pop(0), self, SOCKET_TIMEOUT_S)
         else:
-            self.heir.come(None)
+            self.relay.claim_finished(None)
 
-    def serving(self) -> None:
-        """Tell the old process that clients are taken here."""
-        if self.holder is not None:
-            cast(Any, self.holder).sendLine(msgspec.json.encode(Serving()))
+    def send_serving(self) -> None:
+        """Tell the old process, if there is one, that this one accepts clients."""
+        if self.predecessor is not None:
+            cast(Any, self.predecessor).sendLine(msgspec.json.encode(Serving()))
 
     def buildProtocol(self, addr: IAddress | None) -> Predecessor:  # noqa: N802, D102
         return Predecessor(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802, D102
-        self.begin()
+        self.try_next_offer()
 
 
 @implementer(IFileDescriptorReceiver)
 class Predecessor(LineOnlyReceiver):
-    """The connection to the old process."""
+    """The new process's end of the connection to the old one."""
 
-    MAX_LENGTH = LONGEST
+    MAX_LENGTH = MAX_MESSAGE_BYTES
 
     def __init__(self, claim: Claim) -> None:
         self.claim = claim
-        self.descriptors: list[int] = []  # received and not yet handed on
-        self.timer = claim.reactor.callLater(PATIENCE, self._give_up)
+        self.descriptors: list[int] = []  # received and not passed on yet
+        self.timer = claim.reactor.callLater(SOCKET_TIMEOUT_S, self._abort)
 
     def fileDescriptorReceived(self, descriptor: int) -> None:  # noqa: N802, D102
         self.descriptors.append(descriptor)
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802, D102
         try:
-            told = _of_predecessor.decode(line)
+            message = _predecessor_decoder.decode(line)
         except msgspec.MsgspecError:
-            self._give_up()
+            self._abort()
             return
-        heir, first = self.claim.heir, self.claim.holder is not self
-        if first and not (isinstance(told, Passing) and self._proven()):
-            self._give_up()
+        relay, first = self.claim.relay, self.claim.predecessor is not self
+        if first and not (isinstance(message, SpareDescriptors) and self._sent_listening_socket()):
+            self._abort()
             return
-        if isinstance(told, Passing):
-            heir.may_hold(told.spare)
-        elif isinstance(told, Standing):
-            heir.inherit(told)
-        elif isinstance(told, Left):
-            heir.inherited_left(told.handle)
+        if isinstance(message, SpareDescriptors):
+            relay.descriptors_left(message.spare)
+        elif isinstance(message, EstablishedConnection):
+            relay.connection_reported(message)
+        elif isinstance(message, ConnectionEnded):
+            relay.connection_ended(message.handle)
         else:
-            self._take(told)
+            self._take_connection(message)
         if first:
             self.timer.cancel()
-            self.claim.holder = self
-            heir.come(self.descriptors.pop(0))
+            self.claim.predecessor = self
+            relay.claim_finished(self.descriptors.pop(0))
 
     def connectionLost(self, reason: Failure = cast(Failure, None)) -> None:  # noqa: N802, B008, D102
         if self.timer.active():
             self.timer.cancel()
         for descriptor in self.descriptors:
             os.close(descriptor)
-        if self.claim.holder is self:
-            self.claim.holder = None
-            self.claim.heir.may_hold(None)
+        if self.claim.predecessor is self:
+            self.claim.predecessor = None
+            self.claim.relay.descriptors_left(None)
         else:
-            self.claim.begin()
+            self.claim.try_next_offer()
 
-    def _take(self, told: Handed) -> None:
+    def _take_connection(self, connection: HandedConnection) -> None:
         pair, self.descriptors = self.descriptors[:2], self.descriptors[2:]
-        if len(pair) == 2 and self.claim.heir.take(told, (pair[0], pair[1])):
-            cast(Any, self).sendLine(msgspec.json.encode(Taken(told.handle)))
+        if len(pair) == 2 and self.claim.relay.take_connection(connection, (pair[0], pair[1])):
+            cast(Any, self).sendLine(msgspec.json.encode(ConnectionTaken(connection.handle)))
         for descriptor in pair:
             os.close(descriptor)
 
-    def _proven(self) -> bool:
-        return bool(self.descriptors) and _listens(self.descriptors[0], self.claim.place.listen)
+    def _sent_listening_socket(self) -> bool:
+        return bool(self.descriptors) and _listens_on(self.descriptors[0], self.claim.location.listen)
 
-    def _give_up(self) -> None:
+    def _abort(self) -> None:
         cast(Any, self.transport).abortConnection()
 
 
-def _listens(descriptor: int, at: Address) -> bool:
-    """Tell whether a descriptor is a socket that listens on this address."""
-    # Guards against an offer that is not what it says: clients would be taken from somewhere else.
+def _listens_on(descriptor: int, address: Address) -> bool:
+    """Return whether a descriptor is a socket that listens on this address.
+
+    An offer may hold another socket than its name says; clients would then be accepted from another address.
+    """
     try:
         with contextlib.closing(socket.socket(fileno=os.dup(descriptor))) as sock:
             host, port = sock.getsockname()[:2]
-            named = {each[4][0] for each in socket.getaddrinfo(at.host, at.port, type=socket.SOCK_STREAM)}
+            hosts = {info[4][0] for info in socket.getaddrinfo(address.host, address.port, type=socket.SOCK_STREAM)}
             listens = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-            return bool(listens) and host in named and at.port in (0, port)
+            return bool(listens) and host in hosts and address.port in (0, port)
     except OSError:
         return False
--- a/scaledeal/net/inherited.py
+++ b/scaledeal/net/inherited.py
@@ -1,7 +1,7 @@
-"""What stands at the process that this one takes over from, as the decision module hears of it.
+"""Reports to the decision module the connections that the process that this one takes over from still has.
 
-Two processes of one relay are one relay: what stands at the old one is load and groups that placement here
-must know. The old process alone moves them; an action of the module on one of them finds no transaction.
+The two processes are one relay: the connections of the old one count as load and group members, which placement here
+must know. Only the old process moves them; if the module acts on one of them, no transaction is found for it here.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from scaledeal.net.driver import Driver
 
 
-class Standing(msgspec.Struct, frozen=True, tag="stands"):
-    """A connection that stands at the old process."""
+class EstablishedConnection(msgspec.Struct, frozen=True, tag="stands"):
+    """A connection that is established at the old process."""
 
     handle: str
     request_class: int
@@ -21,57 +21,63 @@
     key: str
     group: str
     tenant: int
-    load: float  # as its server last told it; 0 while unknown
+    load: float  # last load that its application server reported; 0 while unknown
 
 
-def standing(driver: Driver) -> dict[str, Standing]:
-    """Return what stands here, for a new process."""
+def established_connections(driver: Driver) -> dict[str, EstablishedConnection]:
+    """Return this process's established connections, by handle, to report them to a new process."""
     loads = driver.load_lines.loads
     return {
-        each.handle: Standing(
-            each.handle,
-            each.ask.request_class,
-            each.server,
-            each.ask.key,
-            each.ask.group,
-            each.ask.tenant,
-            loads.get(each.handle, 0.0),
+        transaction.handle: EstablishedConnection(
+            transaction.handle,
+            transaction.ask.request_class,
+            transaction.server,
+            transaction.ask.key,
+            transaction.ask.group,
+            transaction.ask.tenant,
+            loads.get(transaction.handle, 0.0),
         )
-        for each in driver.standing()
+        for transaction in driver.standing()
     }
 
 
-class Inherited:
-    """Owns what the module was told of them, until each has ended."""
+class InheritedConnections:
+    """Owns the old process's connections as the decision module knows them, until each has ended."""
 
     def __init__(self, driver: Driver) -> None:
         self.driver = driver
-        self.held: dict[str, Standing] = {}
+        self.by_handle: dict[str, EstablishedConnection] = {}
 
-    def stands(self, told: Standing) -> None:
-        """Hear of a connection, or of its load."""
-        if not 0 <= told.request_class < len(self.driver.figures.counts):
-            return  # guards against a version with other settings
-        name = f"old-{told.handle}"
-        if told.handle not in self.held:
+    def update(self, connection: EstablishedConnection) -> None:
+        """Report a new connection, or the changed load of a known one, to the module."""
+        if not 0 <= connection.request_class < len(self.driver.figures.counts):
+            return  # the old process runs with other settings, whose classes the module does not have
+        name = f"old-{connection.handle}"
+        if connection.handle not in self.by_handle:
             self.driver.post(
                 api.OpenConnection(
-                    name, told.request_class, told.server, told.key, told.group, told.tenant, inherited=True
+                    name,
+                    connection.request_class,
+                    connection.server,
+                    connection.key,
+                    connection.group,
+                    connection.tenant,
+                    inherited=True,
                 )
             )
-        self.held[told.handle] = told
-        if told.load > 0:
-            self.driver.post(api.Note(name, 0, told.server, api.NoteKind.LOAD, told.load))
+        self.by_handle[connection.handle] = connection
+        if connection.load > 0:
+            self.driver.post(api.Note(name, 0, connection.server, api.NoteKind.LOAD, connection.load))
 
-    def left(self, handle: str) -> None:
-        """Hear that a connection has ended there."""
-        if told := self.held.pop(handle, None):
+    def remove(self, handle: str) -> None:
+        """Report to the module that a connection has ended; an unknown handle is ignored."""
+        if connection := self.by_handle.pop(handle, None):
             name = f"old-{handle}"
-            # Gone first: its server did not send it away.
+            # ClientGone comes first, so that the module does not count the end as the server sending its client away.
             self.driver.post(api.ClientGone(name))
-            self.driver.post(api.Outcome(name, 0, told.server, api.Result.CANCELLED, 0, True, ()))
+            self.driver.post(api.Outcome(name, 0, connection.server, api.Result.CANCELLED, 0, True, ()))
 
-    def all_left(self) -> None:
-        """Hear that the old process is gone."""
-        for handle in list(self.held):
-            self.left(handle)
+    def remove_all(self) -> None:
+        """Report to the module that all connections have ended, as the old process is gone."""
+        for handle in list(self.by_handle):
+            self.remove(handle)
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -22,7 +22,7 @@
 from scaledeal.net.discovery_watch import DiscoveryWatch
 from scaledeal.net.driver import Driver
 from scaledeal.net.figures import Figures
-from scaledeal.net.handover import Place
+from scaledeal.net.handover import OfferLocation
 from scaledeal.net.health_probe import HealthProbes
 from scaledeal.net.operators import Operators
 from scaledeal.net.ports import Port, Reactor
@@ -110,7 +110,7 @@
             },
         )
         self.admin: Port | None = None
-        place = Place(config.folder, config.listen) if config.folder else None
+        place = OfferLocation(config.folder, config.listen) if config.folder else None
         self.succession = Succession(reactor, place, self.driver, self.door.reception, self._open, self._take_clients)
         self.sides: list[Side] = []  # doors for other protocols than lines
         self.adopted = False  # the listening socket was handed over, and another process still serves
--- a/scaledeal/net/succession.py
+++ b/scaledeal/net/succession.py
@@ -1,4 +1,4 @@
-"""Two processes of one relay: what this one does as the new one, and what it does as the old one."""
+"""The two roles of a relay process beside another of the same relay: as the new process, and as the old one."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from scaledeal.net.admission import OWN
 from scaledeal.net.carry import Carrier, resume
 from scaledeal.net.driver import Driver
-from scaledeal.net.handover import Claim, Handed, Offer, Place
-from scaledeal.net.inherited import Inherited, Standing, standing
+from scaledeal.net.handover import Claim, HandedConnection, Offer, OfferLocation
+from scaledeal.net.inherited import EstablishedConnection, InheritedConnections, established_connections
 from scaledeal.net.ports import Port, Reactor
 from scaledeal.net.user_agent import Reception
 
@@ -17,51 +17,54 @@
 
 
 class Succession:
-    """Owns the claim on an old process's socket, the offer to a new one, and what passes between them."""
+    """Owns the claim on an old process's socket, the offer to a new one, and all that the two processes exchange.
+
+    Implements ``ClaimingRelay`` and ``OfferingRelay`` of ``scaledeal.net.handover``.
+    """
 
     def __init__(
         self,
         reactor: Reactor,
-        place: Place | None,
+        location: OfferLocation | None,
         driver: Driver,
         reception: Reception,
-        come: Callable[[int | None], None],
-        alone: Callable[[], None],
+        claim_finished: Callable[[int | None], None],
+        accept_clients: Callable[[], None],
     ) -> None:
         self.driver = driver
         self.reception = reception
         self.admission = reception.admission
-        self.come = come  # takes the listening descriptor, and owns it; None where nobody hands one over
-        self.alone = alone  # hears that the process that handed it over is gone
-        self.inherited = Inherited(driver)
-        self.port: Port | None = None  # where clients are taken, once they are
-        self.replaced = False  # a new version serves
-        self.claim = Claim(reactor, place, self) if place else None
-        self.offer = Offer(reactor, place, self) if place else None
+        self.claim_finished = claim_finished  # takes over the listening descriptor; None if no process hands one over
+        self.accept_clients = accept_clients  # called once the process that handed it over is gone
+        self.inherited = InheritedConnections(driver)
+        self.port: Port | None = None  # the listening port, from when it accepts clients
+        self.replaced = False  # a new version accepts clients in place of this process
+        self.claim = Claim(reactor, location, self) if location else None
+        self.offer = Offer(reactor, location, self) if location else None
         self.carrier = Carrier(driver, self.offer) if self.offer else None
 
     def begin(self) -> None:
-        """Look for an old process."""
+        """Look for an old process, and claim its listening socket."""
         if self.claim is None:
-            self.come(None)
+            self.claim_finished(None)
         else:
-            self.claim.begin()
+            self.claim.try_next_offer()
 
     def serve(self, port: Port) -> None:
-        """Tell the old process that clients are taken here, and offer that to a new one."""
+        """Tell the old process that clients are accepted here, and offer the listening socket to a new process."""
         self.port = port
         if self.claim is not None:
-            self.claim.serving()
+            self.claim.send_serving()
         if self.offer is not None:
             self.offer.open()
 
     def hand_over(self) -> None:
-        """Hand what stands here to the new version."""
+        """Start to hand the established connections to the new version, if one serves."""
         if self.carrier is not None and self.replaced:
-            self.carrier.round()
+            self.carrier.run_round()
 
     def close(self) -> None:
-        """End it all: this process is to go."""
+        """Withdraw the offer and hand over no more, as this process ends."""
         self.port = None
         if self.carrier is not None and self.offer is not None:
             self.carrier.stop()
@@ -69,24 +72,24 @@
 
     # As the old process
 
-    def listening(self) -> int:
+    def listening_descriptor(self) -> int:
         """Return the descriptor of the listening socket."""
-        assert self.port is not None, "offered before it listened"
+        assert self.port is not None, "the socket is offered before the relay listens"
         return self.port.fileno()
 
-    def spare(self) -> int:
+    def spare_descriptors(self) -> int:
         """Return how many descriptors a successor may hold."""
         return self.admission.spare()
 
-    def standing(self) -> dict[str, Standing]:
-        """Return the connections that stand here."""
-        return standing(self.driver)
+    def established_connections(self) -> dict[str, EstablishedConnection]:
+        """Return this process's established connections, by handle."""
+        return established_connections(self.driver)
 
-    def succeeded(self, there: bool, serving: bool) -> None:
-        """Take no more clients once a successor serves; take them again if it is lost."""
-        self.admission.lent = OWN if there else 0
-        if self.carrier is not None and not there:
-            self.carrier.lost()
+    def successor_changed(self, connected: bool, serving: bool) -> None:
+        """Stop accepting clients once a successor serves, and accept them again if it is lost."""
+        self.admission.lent = OWN if connected else 0
+        if self.carrier is not None and not connected:
+            self.carrier.successor_lost()
         if self.port is None or serving == self.replaced:
             return
         self.replaced = serving
@@ -94,34 +97,34 @@
             log.info("a new version serves: %d requests and connections stay here", len(self.driver.transactions))
             self.port.stopReading()
         else:
-            log.warning("the new version is gone: clients are taken here again")
+            log.warning("the new version is gone: clients are accepted here again")
             self.port.startReading()
 
-    def taken(self, handle: str) -> None:
-        """Hear that the successor has a connection that was handed over."""
+    def connection_taken(self, handle: str) -> None:
+        """Release a connection that the successor has confirmed."""
         if self.carrier is not None:
-            self.carrier.taken(handle)
+            self.carrier.connection_taken(handle)
 
     # As the new process
 
-    def may_hold(self, count: int | None) -> None:
-        """Hear how many descriptors the old process leaves; None once it is gone."""
-        # Guards against two processes that together hold more descriptors than one relay may.
+    def descriptors_left(self, count: int | None) -> None:
+        """Take how many descriptors the old process leaves to this one; None once it is gone."""
+        # The two processes together may hold no more descriptors than one relay may.
         self.admission.lent = max(0, self.admission.most - count) if count is not None else 0
         if count is None:
-            self.inherited.all_left()
-            # Guards against a queue that nobody reads, where the old process died before this one served.
-            self.alone()
-
-    def inherit(self, told: Standing) -> None:
-        """Hear of a connection that stands at the old process."""
-        self.inherited.stands(told)
-
-    def inherited_left(self, handle: str) -> None:
-        """Hear that it has ended there."""
-        self.inherited.left(handle)
-
-    def take(self, told: Handed, descriptors: tuple[int, int]) -> bool:
-        """Go on with a connection that stood at the old process."""
-        self.inherited.left(told.handle)
-        return resume(self.reception, self.driver, told, descriptors)
+            self.inherited.remove_all()
+            # If the old process died before this one served, nobody else accepts the clients in the queue.
+            self.accept_clients()
+
+    def connection_reported(self, connection: EstablishedConnection) -> None:
+        """Report a connection of the old process, or its changed load, to the module."""
+        self.inherited.update(connection)
+
+    def connection_ended(self, handle: str) -> None:
+        """Report to the module that a connection of the old process has ended."""
+        self.inherited.remove(handle)
+
+    def take_connection(self, connection: HandedConnection, descriptors: tuple[int, int]) -> bool:
+        """Go on with a connection of the old process, and return whether that succeeded."""
+        self.inherited.remove(connection.handle)
+        return resume(self.reception, self.driver, connection, descriptors)
--- a/scaledeal/quic/sockets/handover.py
+++ b/scaledeal/quic/sockets/handover.py
@@ -23,8 +23,8 @@
 from zope.interface import implementer
 
 from scaledeal.net.config import Address, ConfigError
-from scaledeal.net.handover import Place
-from scaledeal.net.offers import next_offer
+from scaledeal.net.handover import OfferLocation
+from scaledeal.net.offers import next_offer_path
 from scaledeal.net.ports import Port
 from scaledeal.quic.core.table import FlowState
 
@@ -44,7 +44,7 @@
     set_ups: list[tuple[str, int, bytes]]
 
 
-class QuicOfferLocation(Place, frozen=True):
+class QuicOfferLocation(OfferLocation, frozen=True):
     """Where the offers of the relay at one UDP address are found."""
 
     @property
@@ -141,7 +141,7 @@
         location = self.location = QuicOfferLocation(
             self.location.folder, Address(self.location.listen.host, self.side.listener.bound_port)
         )
-        path = str(next_offer(location.folder, location.prefix))
+        path = str(next_offer_path(location.folder, location.prefix))
         try:
             offer_port = cast(Any, unix.Port)(path, _OfferFactory(self), 4, 0o600, self.side.reactor)
             offer_port.startListening()
--- a/tests/test_carry_model.py
+++ b/tests/test_carry_model.py
@@ -1,4 +1,4 @@
-"""A model of a connection that is carried from process to process: each line passes once, whole, in order."""
+"""A model of a connection that is handed from process to process: each line is passed on once, whole, in order."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 from twisted.internet import error
 
 from scaledeal import interface as api
-from scaledeal.net.carry import AT_ONCE, Carrier, resume
-from scaledeal.net.handover import Handed
+from scaledeal.net.carry import CONNECTIONS_PER_ROUND, Carrier, resume
+from scaledeal.net.handover import HandedConnection
 
-FIRST = b"OPEN 9b1f 7f3a c=browse,d=800,g=5c0f,x=1\r\n"
+OPEN_LINE = b"OPEN 9b1f 7f3a c=browse,d=800,g=5c0f,x=1\r\n"
 CHUNKS = st.sampled_from([b"M 1", b"\r\n", b"\r", b"\n", b"x" * 900, b"M 2\r\nM 3\r\nM"])
 
 
-class Line:
-    """The successor's end of the connection between two processes, as the carrier sees it."""
+class FakeSuccessor:
+    """Collects what the carrier sends to the successor; it is its own offer."""
 
     def __init__(self) -> None:
         self.successor = self
-        self.handed: list[tuple[Handed, tuple[int, int]]] = []
+        self.handed: list[tuple[HandedConnection, tuple[int, int]]] = []
 
-    def hand(self, told: Handed, descriptors: tuple[int, int]) -> None:
-        self.handed.append((told, descriptors))
+    def hand_over(self, connection: HandedConnection, descriptors: tuple[int, int]) -> None:
+        self.handed.append((connection, descriptors))
 
 
-def stand(bench: Bench) -> tuple[Wire, Wire]:
+def establish(bench: Bench) -> tuple[Wire, Wire]:
+    """Establish a connection, and return its client's and its application server's wire."""
     client = bench.client()
-    client.receive(FIRST)
+    client.receive(OPEN_LINE)
     bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
     server = bench.reactor.dialled[-1].up(bench.reactor)
     server.flush()
@@ -40,17 +41,17 @@
     return client, server
 
 
-class Carried(RuleBasedStateMachine):
-    """Both sides speak in pieces; in between, a new process may take over, or die while it does."""
+class HandedOver(RuleBasedStateMachine):
+    """Both sides send lines in pieces; at any time a new process may take over, or die while it does."""
 
-    times: ClassVar[int] = 0
+    handovers: ClassVar[int] = 0  # over all examples
 
     def __init__(self) -> None:
         super().__init__()
         self.bench = Bench()
-        self.client, self.server = stand(self.bench)
-        self.client_said = self.server_said = b""
-        self.before_client, self.before_server = b"", b""  # what earlier processes passed on
+        self.client, self.server = establish(self.bench)
+        self.client_sent = self.server_sent = b""
+        self.passed_to_client, self.passed_to_server = b"", b""  # by earlier processes
         self.over = False
 
     def flush(self) -> None:
@@ -59,127 +60,133 @@
         self.bench.reactor.advance(0)
 
     @rule(chunk=CHUNKS, late=st.booleans())
-    def client_says(self, chunk: bytes, late: bool) -> None:
+    def client_sends(self, chunk: bytes, late: bool) -> None:
         if not self.over and not self.client.paused:
-            self.client_said += chunk
+            self.client_sent += chunk
             self.client.receive(chunk)
             if not late:
                 self.flush()
 
     @rule(chunk=CHUNKS, late=st.booleans())
-    def server_says(self, chunk: bytes, late: bool) -> None:
+    def server_sends(self, chunk: bytes, late: bool) -> None:
         if not self.over and not self.server.paused:
-            self.server_said += chunk
+            self.server_sent += chunk
             self.server.receive(chunk)
             if not late:
                 self.flush()
 
     @rule(dies=st.booleans())
-    def a_new_process_comes(self, dies: bool) -> None:
-        line = Line()
-        carrier = Carrier(self.bench.driver, line)  # type: ignore[arg-type]
-        carrier.round()
+    def new_process_takes_over(self, dies: bool) -> None:
+        successor = FakeSuccessor()
+        carrier = Carrier(self.bench.driver, successor)  # type: ignore[arg-type]
+        carrier.run_round()
         carrier.stop()
         busy = self.over or self.client.queued or self.server.queued
-        assert len(line.handed) == (0 if busy else 1), "handed over with lines under way, or not at all"
+        assert len(successor.handed) == (0 if busy else 1), (
+            "handed over with lines under way, or not handed over without"
+        )
         if busy:
             return
-        assert self.client.paused and self.server.paused, "read on after it was handed over"
-        # Guards against a word of the module's on a connection that is not ours any more, or not yet.
-        handle = line.handed[0][0].handle
+        assert self.client.paused and self.server.paused, "still read after it was handed over"
+        # Until the new process has confirmed it, the module may still act on the connection, without effect.
+        handle = successor.handed[0][0].handle
         self.bench.act(api.Move(handle), api.Fail(handle))
         self.bench.driver.look_round()
         if dies:
-            carrier.lost()
+            carrier.successor_lost()
             assert not self.client.paused and not self.server.paused
             return
         new = Bench()
         new.reactor.advance(self.bench.reactor.seconds() - new.reactor.seconds())
-        assert resume(new.reception, new.driver, *line.handed[0])
-        carrier.taken(handle)
+        assert resume(new.reception, new.driver, *successor.handed[0])
+        carrier.connection_taken(handle)
         assert self.client.handle.closed and self.server.handle.closed and not self.client.fin_sent
-        self.nothing_is_left_of_it(self.bench)
-        told = new.module.of(api.OpenConnection)[0]
-        assert (told.server, told.key, told.group, told.inherited) == ("a", "7f3a", "5c0f", True)
+        self.assert_nothing_is_left(self.bench)
+        opened = new.module.of(api.OpenConnection)[0]
+        assert (opened.server, opened.key, opened.group, opened.inherited) == ("a", "7f3a", "5c0f", True)
         assert new.reception.ids == {"9b1f"} and new.admission.asked == 1 and not new.admission.silent
-        self.before_client += self.client.sent
-        self.before_server += self.server.sent
+        self.passed_to_client += self.client.sent
+        self.passed_to_server += self.server.sent
         self.bench, (self.client, self.server) = new, new.reactor.adopted
-        assert self.client.producer and self.server.producer, "what a slow peer leaves would pile up"
-        type(self).times += 1
+        assert self.client.producer and self.server.producer, "lines for a slow peer would be buffered without bound"
+        type(self).handovers += 1
 
-    def nothing_is_left_of_it(self, bench: Bench) -> None:
+    def assert_nothing_is_left(self, bench: Bench) -> None:
         assert not bench.driver.transactions and not bench.reception.ids
         assert bench.admission.asked == 0 == bench.pool.out and not bench.admission.silent
         gone, ended = bench.module.of(api.ClientGone), bench.module.of(api.Outcome)
         assert len(ended) == 1 and ended[0].last and ended[0].result is api.Result.CANCELLED
-        assert [each.request for each in gone] == [ended[0].request] or self.over
+        assert [event.request for event in gone] == [ended[0].request] or self.over
 
-    @rule(broke=st.booleans(), now=st.integers(0, 9))
-    def the_client_leaves(self, broke: bool, now: int) -> None:
-        if not now and not self.over:
+    @rule(broke=st.booleans(), draw=st.integers(0, 9))  # leaves in one of ten draws
+    def client_leaves(self, broke: bool, draw: int) -> None:
+        if not draw and not self.over:
             self.client.lose(error.ConnectionLost()) if broke else self.client.peer_ends()
             self.over = True
 
     @invariant()
-    def each_line_passes_once(self) -> None:
-        to_server = self.before_server + self.server.sent + self.server.queued
-        to_client = self.before_client + self.client.sent + self.client.queued
-        assert to_server.startswith(FIRST.partition(b"d=")[0])
+    def each_line_is_passed_once(self) -> None:
+        to_server = self.passed_to_server + self.server.sent + self.server.queued
+        to_client = self.passed_to_client + self.client.sent + self.client.queued
+        assert to_server.startswith(OPEN_LINE.partition(b"d=")[0])
         passed = to_server.split(b"\r\n", 1)[1] if b"\r\n" in to_server else b""
-        whole, end, _ = self.client_said.rpartition(b"\r\n")
+        whole, end, _ = self.client_sent.rpartition(b"\r\n")
         assert passed == whole + end
-        whole, end, _ = self.server_said.rpartition(b"\r\n")
+        whole, end, _ = self.server_sent.rpartition(b"\r\n")
         assert to_client == b"UP 1\r\n" + whole + end
 
     def teardown(self) -> None:
-        """End it: one that was carried ends as any other."""
+        """End the connection: one that was handed over ends as any other."""
         if not self.client.lost:
             self.client.lose(error.ConnectionLost())
         self.bench.reactor.advance(0)
         self.server.lose(error.ConnectionLost())
         self.over = True
-        self.nothing_is_left_of_it(self.bench)
+        self.assert_nothing_is_left(self.bench)
 
 
-def test_lines_pass_once_whatever_is_carried():
-    run_state_machine_as_test(Carried, settings=settings(max_examples=120, stateful_step_count=25))
-    assert Carried.times > 60, "hardly anything was carried"
+def test_each_line_is_passed_once_over_any_handovers():
+    run_state_machine_as_test(HandedOver, settings=settings(max_examples=120, stateful_step_count=25))
+    assert HandedOver.handovers > 60, "hardly any connection was handed over"
 
 
-def test_what_can_not_be_taken_stays_with_the_old_process():
+def test_a_connection_that_can_not_be_taken_stays_with_the_old_process():
     bench = Bench()
-    client, server = stand(bench)
-    line = Line()
-    carrier = Carrier(bench.driver, line)  # type: ignore[arg-type]
-    carrier.round()
-    told, descriptors = line.handed[0]
+    client, server = establish(bench)
+    successor = FakeSuccessor()
+    carrier = Carrier(bench.driver, successor)  # type: ignore[arg-type]
+    carrier.run_round()
+    connection, descriptors = successor.handed[0]
     other = Bench()
     other.reception.classes.clear()  # a version with other settings
-    assert not resume(other.reception, other.driver, told, descriptors)
-    assert not resume(Bench().reception, other.driver, Handed(told.handle, "a", 0.0, b"junk"), descriptors)
+    assert not resume(other.reception, other.driver, connection, descriptors)
+    assert not resume(
+        Bench().reception, other.driver, HandedConnection(connection.handle, "a", 0.0, b"junk"), descriptors
+    )
     assert not other.driver.transactions and not other.reactor.adopted
-    carrier.lost()
+    carrier.successor_lost()
     client.receive(b"M 1\r\n")
     assert server.lines()[-1] == b"M 1"
 
 
-def test_what_is_half_closed_or_too_much_for_one_round_waits():
+def test_half_closed_connections_and_those_beyond_one_round_wait():
     bench = Bench()
-    line = Line()
-    ended, _ = stand(bench)
+    successor = FakeSuccessor()
+    ended, _ = establish(bench)
     ended.peer_ends()
-    for number in range(AT_ONCE + 2):
+    for number in range(CONNECTIONS_PER_ROUND + 2):
         client = bench.client()
-        client.receive(FIRST.replace(b"9b1f", b"%x" % number))
+        client.receive(OPEN_LINE.replace(b"9b1f", b"%x" % number))
         bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
         server = bench.reactor.dialled[-1].up(bench.reactor)
         server.flush()
         server.receive(b"UP 1\r\n")
         client.flush()
-    carrier = Carrier(bench.driver, line)  # type: ignore[arg-type]
-    carrier.round()
-    assert len(line.handed) == AT_ONCE
+    carrier = Carrier(bench.driver, successor)  # type: ignore[arg-type]
+    carrier.run_round()
+    assert len(successor.handed) == CONNECTIONS_PER_ROUND
     bench.reactor.advance(0.02)
-    assert len(line.handed) == AT_ONCE + 2, "one whose client has ended its sending is not handed over"
+    assert len(successor.handed) == CONNECTIONS_PER_ROUND + 2, (
+        "one whose client has ended its sending is not handed over"
+    )
     carrier.stop()
--- a/tests/test_handover_model.py
+++ b/tests/test_handover_model.py
@@ -1,4 +1,4 @@
-"""A model of two processes of one relay: what the old one holds is what the new one's module was told."""
+"""A model of two processes of one relay: the new one's module knows just the connections that the old one has."""
 
 from __future__ import annotations
 
@@ -15,14 +15,22 @@
 
 from scaledeal import interface as api
 from scaledeal.net.config import Address
-from scaledeal.net.handover import TELL, TRIES, Claim, Offer, Place, Predecessor, Successor
-from scaledeal.net.inherited import Inherited, Standing
+from scaledeal.net.handover import (
+    MAX_OFFERS_TRIED,
+    UPDATE_INTERVAL_S,
+    Claim,
+    Offer,
+    OfferLocation,
+    Predecessor,
+    Successor,
+)
+from scaledeal.net.inherited import EstablishedConnection, InheritedConnections
 
-NOWHERE = Place(Path("/nowhere"), Address("127.0.0.1", 0))
+NO_OFFERS = OfferLocation(Path("/nowhere"), Address("127.0.0.1", 0))
 
 
 class Pipe:
-    """The transport of the old side: what is written comes to the other at once."""
+    """The old process's transport; it delivers what is written to the new process at once."""
 
     def __init__(self, old: Successor, new: Predecessor) -> None:
         self.old, self.new = old, new
@@ -40,143 +48,146 @@
     def loseConnection(self) -> None:
         if not self.lost:
             self.lost = True
-            for each in (self.old, self.new):
-                each.connectionLost(Failure(ConnectionDone()))
+            for protocol in (self.old, self.new):
+                protocol.connectionLost(Failure(ConnectionDone()))
 
     def abortConnection(self) -> None:
         self.loseConnection()
 
 
 class Versions(RuleBasedStateMachine):
-    """Connections come, change and go at the old process; new ones come, and either may die."""
+    """Connections begin, change and end at the old process; new processes connect, and either may die.
+
+    The machine is both relays: the ``OfferingRelay`` of the offer and the ``ClaimingRelay`` of the claims.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.bench, self.new = Bench(), Bench()
-        self.inherited = Inherited(self.new.driver)
+        self.inherited = InheritedConnections(self.new.driver)
         self.sock = socket.create_server(("127.0.0.1", 0))
-        self.here: dict[str, Standing] = {}
+        self.connections: dict[str, EstablishedConnection] = {}
         self.free = 100
-        self.successions: list[tuple[bool, bool]] = []
-        self.came: list[int | None] = []
-        self.may: list[int | None] = []
-        self.offer = Offer(self.bench.reactor, NOWHERE, self)  # type: ignore[arg-type]
+        self.successor_changes: list[tuple[bool, bool]] = []
+        self.claimed: list[int | None] = []
+        self.left_counts: list[int | None] = []
+        self.offer = Offer(self.bench.reactor, NO_OFFERS, self)  # type: ignore[arg-type]
         self.pipe: Pipe | None = None
 
     # The old relay, and the new one
 
-    def listening(self) -> int:
+    def listening_descriptor(self) -> int:
         return self.sock.fileno()
 
-    def spare(self) -> int:
+    def spare_descriptors(self) -> int:
         return self.free
 
-    def standing(self) -> dict[str, Standing]:
-        return dict(self.here)
+    def established_connections(self) -> dict[str, EstablishedConnection]:
+        return dict(self.connections)
 
-    def succeeded(self, there: bool, serving: bool) -> None:
-        self.successions.append((there, serving))
+    def successor_changed(self, connected: bool, serving: bool) -> None:
+        self.successor_changes.append((connected, serving))
 
-    def come(self, descriptor: int | None) -> None:
-        self.came.append(descriptor)
+    def claim_finished(self, descriptor: int | None) -> None:
+        self.claimed.append(descriptor)
         if descriptor is not None:
             os.close(descriptor)
 
-    def may_hold(self, count: int | None) -> None:
-        self.may.append(count)
+    def descriptors_left(self, count: int | None) -> None:
+        self.left_counts.append(count)
         if count is None:
-            self.inherited.all_left()
+            self.inherited.remove_all()
 
-    def inherit(self, told: Standing) -> None:
-        self.inherited.stands(told)
+    def connection_reported(self, connection: EstablishedConnection) -> None:
+        self.inherited.update(connection)
 
-    def inherited_left(self, handle: str) -> None:
-        self.inherited.left(handle)
+    def connection_ended(self, handle: str) -> None:
+        self.inherited.remove(handle)
 
     @rule(number=st.integers(0, 30), load=st.sampled_from([0.0, 5.0, 7.5]), cls=st.sampled_from([0, 0, 0, 9]))
-    def stands_or_changes(self, number: int, load: float, cls: int) -> None:
-        before = self.here.get(f"t{number}")
+    def connection_begins_or_changes(self, number: int, load: float, cls: int) -> None:
+        before = self.connections.get(f"t{number}")
         cls = before.request_class if before else cls
-        self.here[f"t{number}"] = Standing(f"t{number}", cls, "a", "k", "g", 0, load)
+        self.connections[f"t{number}"] = EstablishedConnection(f"t{number}", cls, "a", "k", "g", 0, load)
 
     @rule(number=st.integers(0, 30))
-    def goes(self, number: int) -> None:
-        self.here.pop(f"t{number}", None)
+    def connection_ends(self, number: int) -> None:
+        self.connections.pop(f"t{number}", None)
 
     @rule(free=st.integers(0, 200))
-    def descriptors_change(self, free: int) -> None:
+    def spare_descriptors_change(self, free: int) -> None:
         self.free = free
 
     @rule()
-    def new_version_comes(self) -> None:
+    def new_version_connects(self) -> None:
         old = self.offer.buildProtocol(None)
-        claim = Claim(self.new.reactor, NOWHERE, self)  # type: ignore[arg-type]
+        claim = Claim(self.new.reactor, NO_OFFERS, self)  # type: ignore[arg-type]
         new = Predecessor(claim)
         pipe = Pipe(old, new)
         old.transport = new.transport = pipe  # type: ignore[assignment]
         old.connectionMade()
-        # Guards against two successors that both think the queue is theirs.
+        # The old process serves one successor: a second one would also accept clients from the queue.
         assert pipe.lost == (self.pipe is not None)
         if self.pipe is None:
             self.pipe = pipe
-            assert claim.holder is new and self.came[-1] is not None
+            assert claim.predecessor is new and self.claimed[-1] is not None
         else:
-            assert claim.holder is None and self.came[-1] is None
+            assert claim.predecessor is None and self.claimed[-1] is None
 
     @rule()
     def new_version_serves(self) -> None:
         if self.pipe is not None:
             self.pipe.old.dataReceived(b'{"type":"serving"}\r\n')
-            assert self.successions[-1] == (True, True)
+            assert self.successor_changes[-1] == (True, True)
 
     @rule(junk=st.sampled_from([b"x\r\n", b"{}\r\n", b'{"serving":1}\r\n', b"x" * 20000]), old=st.booleans())
-    def one_says_junk_or_dies(self, junk: bytes, old: bool) -> None:
+    def one_sends_junk_or_dies(self, junk: bytes, old: bool) -> None:
         if self.pipe is None:
             return
         pipe, self.pipe = self.pipe, None
         (pipe.new if old else pipe.old).dataReceived(junk)
         pipe.loseConnection()
-        assert self.successions[-1] == (False, False) and self.may[-1] is None
-        assert self.inherited.held == {}, "something is left of a process that is gone"
+        assert self.successor_changes[-1] == (False, False) and self.left_counts[-1] is None
+        assert self.inherited.by_handle == {}, "connections of a process that is gone are still known"
 
     @rule()
     def time_passes(self) -> None:
-        self.bench.reactor.advance(TELL)
+        self.bench.reactor.advance(UPDATE_INTERVAL_S)
 
     @invariant()
-    def the_module_knows_what_stands(self) -> None:
+    def module_knows_the_old_connections(self) -> None:
         if self.pipe is not None:
-            self.bench.reactor.advance(TELL)
-            # Guards against a class that only one version knows: each event of it would fail.
-            known = {handle: each for handle, each in self.here.items() if each.request_class == 0}
-            assert self.inherited.held == known and self.may[-1] == self.free
-        opened = [e.request for e in self.new.module.of(api.OpenConnection)]
-        ended = [e.request for e in self.new.module.of(api.Outcome)]
-        assert len(opened) - len(ended) == len(self.inherited.held)
-        gone = [e.request for e in self.new.module.of(api.ClientGone)]
-        assert gone == ended, "a server would count as one that sends its clients away"
+            self.bench.reactor.advance(UPDATE_INTERVAL_S)
+            # A class that only the old version knows is left out, as the module would fail on each event of it.
+            known = {handle: each for handle, each in self.connections.items() if each.request_class == 0}
+            assert self.inherited.by_handle == known and self.left_counts[-1] == self.free
+        opened = [event.request for event in self.new.module.of(api.OpenConnection)]
+        ended = [event.request for event in self.new.module.of(api.Outcome)]
+        assert len(opened) - len(ended) == len(self.inherited.by_handle)
+        gone = [event.request for event in self.new.module.of(api.ClientGone)]
+        assert gone == ended, "the server would count as one that sends its clients away"
 
     def teardown(self) -> None:
-        """No descriptor is left."""
+        """Check that no transaction and no timer is left."""
         if self.pipe is not None:
             self.pipe.loseConnection()
         self.sock.close()
         assert not self.new.driver.transactions and not self.bench.reactor.getDelayedCalls()[1:]
 
 
-def test_the_new_process_knows_what_stands_at_the_old_one():
+def test_the_new_process_knows_the_old_ones_connections():
     run_state_machine_as_test(Versions, settings=settings(max_examples=60, stateful_step_count=25))
 
 
-def test_only_live_looking_offers_of_our_own_are_tried(tmp_path):
-    place = Place(tmp_path, Address("127.0.0.1", 9000))
-    assert place.offers() == [] and Place(tmp_path / "none", place.listen).offers() == []
+def test_only_the_newest_sockets_of_the_same_user_are_tried(tmp_path):
+    location = OfferLocation(tmp_path, Address("127.0.0.1", 9000))
+    assert location.offers() == [] and OfferLocation(tmp_path / "none", location.listen).offers() == []
     made = []
-    for number in range(TRIES + 2):
+    for number in range(MAX_OFFERS_TRIED + 2):
         with socket.socket(socket.AF_UNIX) as sock:
-            sock.bind(str(tmp_path / f"{place.prefix}{number:016x}"))
-            made.append(str(tmp_path / f"{place.prefix}{number:016x}"))
-    (tmp_path / f"{place.prefix}f").write_text("")
-    (tmp_path / f"{place.prefix}g").symlink_to(made[0])
-    assert place.offers() == made[::-1][:TRIES]
-    assert Place(tmp_path, Address("127.0.0.1", 9001)).offers() == []
+            sock.bind(str(tmp_path / f"{location.prefix}{number:016x}"))
+            made.append(str(tmp_path / f"{location.prefix}{number:016x}"))
+    (tmp_path / f"{location.prefix}f").write_text("")
+    (tmp_path / f"{location.prefix}g").symlink_to(made[0])
+    assert location.offers() == made[::-1][:MAX_OFFERS_TRIED]
+    assert OfferLocation(tmp_path, Address("127.0.0.1", 9001)).offers() == []
--- a/tests/test_relay_process.py
+++ b/tests/test_relay_process.py
@@ -24,7 +24,7 @@
 
 from scaledeal.net.config import Address
 from scaledeal.net.figures import EndCause
-from scaledeal.net.handover import Place
+from scaledeal.net.handover import OfferLocation
 from scaledeal.net.invariants import Rule
 
 ROOT = Path(__file__).parent.parent
@@ -625,7 +625,7 @@
 @pytest.fixture()
 def litter(tmp_path: Path) -> Iterator[None]:
     """Fill the shared folder with what others may have left there, newer than any offer."""
-    prefix = Place(tmp_path, Address("127.0.0.1", 0)).prefix
+    prefix = OfferLocation(tmp_path, Address("127.0.0.1", 0)).prefix
     (tmp_path / f"{prefix}fffffffffffffff1").write_text("no socket")
     (tmp_path / f"{prefix}fffffffffffffff2").mkdir()
     with contextlib.ExitStack() as stack:
