--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -381,7 +381,7 @@
         fleet.checker.resources_left(name, "descriptors", max(0, left), fleet.kernel.now)
         fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
         fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.requests), fleet.kernel.now)
-        fleet.checker.resources_left(name, "buffers", relay.door.reception.context.pool.out, fleet.kernel.now)
+        fleet.checker.resources_left(name, "buffers", relay.client_factory.reception.context.pool.out, fleet.kernel.now)
 
 
 @contextlib.contextmanager
--- a/scaledeal/net/operators.py
+++ b/scaledeal/net/operators.py
@@ -1,4 +1,4 @@
-"""The address that only operators call: one line, one answer, close."""
+"""Server of the operators' address: a connection takes one call on one line, gets one answer and is closed."""
 
 from __future__ import annotations
 
@@ -11,41 +11,41 @@
 from scaledeal.net.lines import LineLink
 from scaledeal.net.ports import Reactor
 
-CALLERS = 8  # callers at once; their descriptors are set aside by the admission
-CALL_TIME = 2.0  # seconds that a caller gets for its line
+MAX_CALLERS = 8  # at once; admission sets their descriptors aside
+CALL_TIMEOUT_S = 2.0  # for a caller to send its whole line
 
-Call = Callable[[], str]  # what a call does: returns its answer, whose first line starts with ok or fail
+Call = Callable[[], str]  # carries out a call; the first line of the answer starts with ok or fail
 
 
 class Caller(LineLink):
     """An operator's connection."""
 
-    delimiter = b"\n"  # with or without a CR before it: staff call by hand
+    delimiter = b"\n"  # with or without a CR before it, as operators also type calls by hand
 
     def __init__(self, operators: Operators) -> None:
         super().__init__(operators.reactor, operators.pool)
         self.operators = operators
 
     def link_up(self) -> None:
-        """Guard against a caller that never says anything, or only half a call."""
-        self.operators.come(self)
-        self._set_timer(CALL_TIME, lambda: self._answer(f"fail no call came within {CALL_TIME:.0f} s"))
+        """Register the caller, and start the time-out that ends a connection on which no whole call comes."""
+        self.operators.add(self)
+        self._set_timer(CALL_TIMEOUT_S, lambda: self._answer(f"fail no call received within {CALL_TIMEOUT_S:.0f} s"))
 
     def line_came(self, line: bytes) -> None:
-        """Take the call."""
+        """Answer the call."""
         self._answer(self.operators.answer(line))
 
     def bad_line(self) -> None:
-        """Answer a line that is too long."""
+        """Refuse a line that is too long."""
         self._answer("fail line too long")
 
     def sending_ended(self) -> None:
-        """Answer a caller that ended its sending before its line did."""
-        self._answer("fail half a call")
+        """Refuse a caller that has ended its sending before the end of its line."""
+        self._answer("fail sending ended before the end of the line")
 
     def link_lost(self, broke: bool) -> None:
-        """Be gone."""
-        self.operators.gone(self)
+        """Unregister the caller."""
+        self.operators.remove(self)
 
     def _answer(self, text: str) -> None:
         self._stop_timer()
@@ -55,7 +55,7 @@
 
 
 class Operators(ServerFactory):
-    """Knows the calls, and who is calling."""
+    """Answers calls by name, and bounds the number of callers."""
 
     noisy = False
 
@@ -63,26 +63,26 @@
         self.reactor = reactor
         self.pool = pool
         self.calls = calls
-        self.callers: dict[Caller, None] = {}  # the oldest first
+        self.callers: dict[Caller, None] = {}  # oldest first
 
     def buildProtocol(self, addr: IAddress | None) -> Caller:  # noqa: N802, D102
         return Caller(self)
 
-    def come(self, caller: Caller) -> None:
-        """Take a caller; where there are too many, the oldest gives way."""
-        # Guards against callers that stall or come in crowds: neither a call nor a client waits for them.
+    def add(self, caller: Caller) -> None:
+        """Register a caller, and reset the oldest connection if there are too many."""
+        # Without this bound, callers that stall or come in large numbers would hold up other calls and clients.
         self.callers[caller] = None
-        if len(self.callers) > CALLERS:
+        if len(self.callers) > MAX_CALLERS:
             oldest = next(iter(self.callers))
-            self.gone(oldest)
+            self.remove(oldest)
             oldest.reset()
 
-    def gone(self, caller: Caller) -> None:
-        """Hear that a caller's connection is over."""
+    def remove(self, caller: Caller) -> None:
+        """Unregister a caller."""
         self.callers.pop(caller, None)
 
     def answer(self, line: bytes) -> str:
-        """Carry out a call."""
+        """Carry out the call on this line, and return its answer."""
         call = self.calls.get(line.strip())
         if call is None:
             return f"fail unknown call; calls are {', '.join(name.decode() for name in self.calls)}"
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one relay together, starts it and stops it."""
+"""Assembles the parts of one relay, starts it and stops it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ServerFactory
 
 from scaledeal import interface as api
-from scaledeal.net import config as told
+from scaledeal.net import config as configuration
 from scaledeal.net.admission import Admission, most_descriptors
 from scaledeal.net.attempt import AttemptContext
 from scaledeal.net.buffers import BufferPool
@@ -39,18 +39,18 @@
 
 log = logging.getLogger("scaledeal.relay")
 
-COMING = 0.5  # seconds after SIGTERM for which the front still sends new connections here
-KEPT = 1.6  # seconds after SIGTERM for which the standing clients are served as before
-HANDING = 1.0  # seconds after SIGTERM for which connections are handed to a new version before any is moved
-LONGEST_DEADLINE = 3.0  # seconds; SIGKILL follows SIGTERM by the longest deadline, or this, plus 0.7 or more
-LEFT_OVER = 0.1  # seconds after that deadline at which the last standing client is moved
-LISTEN_TRIES = 100  # tries of a socket that a shortage keeps from listening
-LISTEN_PAUSE = 0.03  # seconds between two of them; nothing is served meanwhile
-RELOAD_TRIES = 40  # tries of a new configuration that can't be read for want of descriptors or memory
-RELOAD_PAUSE = 0.05  # seconds between two of them
-LIST_TIME = 4.0  # seconds that a start waits for a list; a successor must serve within 6 s of its start
-LAST_MOMENT = 0.1  # seconds that clients get to take the last answers
-LAST_CALL = 0.45  # seconds after that deadline at which whatever is left is ended
+FRONT_REACTION_S = 0.5  # after SIGTERM the front still sends new connections here for so long
+MOVES_BEGIN_S = 1.6  # after SIGTERM; until then clients with established connections are served as before
+MOVES_BEGIN_REPLACED_S = 1.0  # after SIGTERM, where a new version serves and is handed connections until then
+MAX_MOVES_END_S = 3.0  # SIGKILL follows SIGTERM by the longest deadline of a class, or this, plus 0.7 s or more
+LAST_MOVE_MARGIN_S = 0.1  # after that deadline the last client is moved
+LISTEN_TRIES = 100  # of a socket that a temporary shortage keeps from listening
+LISTEN_PAUSE_S = 0.03  # between two of them; nothing is served meanwhile
+RELOAD_TRIES = 40  # of a new configuration that can't be read for a shortage of descriptors or memory
+RELOAD_PAUSE_S = 0.05  # between two of them
+INITIAL_LIST_TIMEOUT_S = 4.0  # that a start waits for a list; a successor must serve within 6 s of its start
+LAST_ANSWERS_TIME_S = 0.1  # for clients to receive the last answers before the process exits
+FORCED_END_MARGIN_S = 0.45  # after that deadline all that is left is ended
 
 
 class Relay:
@@ -70,7 +70,7 @@
             self.system.monotonic,
             int(config.document.rules.drain_grace),
         )
-        self._trace()
+        self._open_trace()
         pool = BufferPool()
         context = AttemptContext(
             reactor, pool, self.driver.now, report_reader(document.report.fields), int(document.caps.dial_timeout)
@@ -78,7 +78,7 @@
         self.unix_clock = UnixClock(self.system.monotonic, self.system.unix())
         self.clocks = ClockMonitor(reactor, self.system.monotonic, self.system.unix)
         self.catalog = Catalog(document.failure_domains, Calendar(self.unix_clock.offset))
-        self.discovery = self._watch()
+        self.discovery = self._new_discovery_watch()
         self.driver.watch = lambda: self.discovery.watch()
         classes = {entry.name: number for number, entry in enumerate(document.classes)}
         tenants = {entry.name or str(number): number for number, entry in enumerate(document.accounts)}
@@ -87,7 +87,7 @@
             context, int(document.caps.idle_close), self.driver.post, admission.for_probes
         )
         admission.probing, admission.end_probes = probes.held, probes.give_back
-        self.door = ClientFactory(
+        self.client_factory = ClientFactory(
             Reception(
                 context,
                 classes,
@@ -103,37 +103,44 @@
             reactor,
             pool,
             {
-                b"PING": lambda: self._told(self.service.stage is Stage.SERVING),
-                b"INFO": lambda: "\n".join(["ok", *self._figures(), "eof"]),
-                b"LAMEDUCK": lambda: self._told(self.service.lame_duck()),
-                b"REJOIN": lambda: self._told(self.service.rejoin()),
+                b"PING": lambda: self._stage_answer(self.service.stage is Stage.SERVING),
+                b"INFO": lambda: "\n".join(["ok", *self._metric_lines(), "eof"]),
+                b"LAMEDUCK": lambda: self._stage_answer(self.service.lame_duck()),
+                b"REJOIN": lambda: self._stage_answer(self.service.rejoin()),
             },
         )
         self.admin: Port | None = None
-        place = OfferLocation(config.folder, config.listen) if config.folder else None
-        self.succession = Succession(reactor, place, self.driver, self.door.reception, self._open, self._take_clients)
-        self.sides: list[Side] = []  # doors for other protocols than lines
-        self.adopted = False  # the listening socket was handed over, and another process still serves
-        self.opened = False  # the list of the start has been told
-        self.moved = False  # discovery is another one than the list at the start is of
-        self.gone = False
+        location = OfferLocation(config.folder, config.listen) if config.folder else None
+        self.succession = Succession(
+            reactor,
+            location,
+            self.driver,
+            self.client_factory.reception,
+            self._open_client_port,
+            self._accept_adopted_clients,
+        )
+        self.sides: list[Side] = []  # for other protocols than lines
+        self.adopted = False  # the listening socket was handed over, and the old process still accepts clients
+        self.initial_list_posted = False  # to the decision module
+        self.discovery_changed = False  # the initial list is of another discovery than the present one
+        self.stopped = False
         self.failure = ""  # why this relay could not start
 
     # The start
 
-    def _trace(self) -> None:
-        """Have what is decided written down, where that is asked for."""
+    def _open_trace(self) -> None:
+        """Open the trace of decisions if one is configured; raise ConfigError if it can't be opened."""
         if not self.config.trace:
             return
         try:
             now = self.driver.now()
             self.driver.trace = open_trace(self.config.trace, self.config.name, self.system.unix() - now)
         except OSError as error:
-            raise told.ConfigError(f"PROXY_TRACE: {self.config.trace}: {error.strerror}") from None
+            raise configuration.ConfigError(f"PROXY_TRACE: {self.config.trace}: {error.strerror}") from None
         self.driver.trace.begins(now, tuple(entry.name for entry in self.config.document.classes), self.config.settings)
 
     def start(self) -> None:
-        """Take over from the process that serves, or listen; ``failure`` tells why it could not."""
+        """Take over from a process that serves, or listen; on an error ``failure`` is set and the reactor stopped."""
         admin = self.config.admin
         try:
             if admin is not None:
@@ -141,41 +148,43 @@
                 log.info("operators call %s:%d", admin.host, self.admin.getHost().port)
             for side in self.sides:
                 side.start()
-        except told.ConfigError as error:
-            self._give_up(error)
+        except configuration.ConfigError as error:
+            self.fail_start(error)
             return
         self.clocks.start()
         self.driver.look_round()
         self.succession.begin()
 
-    def _open(self, descriptor: int | None) -> None:
-        """Listen on the socket that was handed over, or on one of our own."""
-        self.opened = True
-        self.discovery.start_with(self.config.known, descriptor is not None or self.moved)
+    def _open_client_port(self, descriptor: int | None) -> None:
+        """Open the port for clients on the socket that was handed over, or bind one if ``descriptor`` is None."""
+        self.initial_list_posted = True
+        self.discovery.start_with(self.config.known, descriptor is not None or self.discovery_changed)
         if not self.config.settings.ask_discovery:
-            # Guards against a list that is never read where it is pushed: the agent on this machine answers at
-            # once and at no cost, and what it holds counts as told, so it is watched from the start. The module
-            # asks only where discovery is one service for all relays, and again after any failure.
+            # The module asks for the list only where discovery is one service for all relays, and after any failure,
+            # so without this call a pushed list would never be read. The agent on this machine answers at once and at
+            # no cost, and what it holds counts as told, so it is watched from the start.
             self.discovery.watch()
         if descriptor is None:
             try:
-                self.port = self._listen(True, self.config.listen, self.door, "PROXY_LISTEN")
-            except told.ConfigError as error:
-                self._give_up(error)
+                self.port = self._listen(True, self.config.listen, self.client_factory, "PROXY_LISTEN")
+            except configuration.ConfigError as error:
+                self.fail_start(error)
                 return
-            self._log_listens()
+            self._log_listening()
         else:
             family = socket.AF_INET6 if ":" in self.config.listen.host else socket.AF_INET
-            self.port = cast(Any, ClientListener)._fromListeningDescriptor(self.reactor, descriptor, family, self.door)
+            self.port = cast(Any, ClientListener)._fromListeningDescriptor(
+                self.reactor, descriptor, family, self.client_factory
+            )
             os.close(descriptor)
             self.adopted = True
             log.info("taking over from the process that serves: waiting for the whole list")
-        # Guards against a list that has aged since the file was written: what discovery had 6 s ago counts as told from
-        # the first moment, so who says yes to a front knows a fresh one, unless discovery can't be reached. Whoever
-        # comes before that is served: a front that has not noticed a restart goes on sending clients.
-        self.reactor.callLater(LIST_TIME, self._serve)
+        # The list in the file may be out of date, but what discovery had 6 s ago counts as told from the first moment.
+        # So a front is told that this relay serves only with a fresh list, unless discovery can't be reached. Clients
+        # that come before are served, as a front that has not noticed a restart goes on sending them.
+        self.reactor.callLater(INITIAL_LIST_TIMEOUT_S, self._start_serving)
 
-    def _listed(self, event: api.Membership, addresses: dict[str, str]) -> None:
+    def _membership_received(self, event: api.Membership, addresses: dict[str, str]) -> None:
         self.driver.listed(event, addresses)
         for side in self.sides:
             side.listed(event)
@@ -183,26 +192,26 @@
             not self.adopted and event.kind is not api.MembershipKind.INITIAL
         )
         if fresh:
-            self._serve()
+            self._start_serving()
 
-    def _serve(self) -> None:
-        """Take clients, once; the process that was there before takes no more."""
+    def _start_serving(self) -> None:
+        """Start the service, once: accept clients, and have the old process accept no more."""
         if self.port is None or self.service.stage is not Stage.STARTING:
             return
-        self.service.started()
-        self._take_clients()
+        self.service.start_serving()
+        self._accept_adopted_clients()
         self.succession.serve(self.port)
         for side in self.sides:
             side.serve()
 
-    def _take_clients(self) -> None:
-        """Take clients from the queue that was handed over: the list is there, or the process before is gone."""
+    def _accept_adopted_clients(self) -> None:
+        """Accept clients from an adopted socket: the list has come, or the old process is gone."""
         if self.adopted and self.port is not None:
             self.adopted = False
             self.port.startListening()
-            self._log_listens()
+            self._log_listening()
 
-    def _log_listens(self) -> None:
+    def _log_listening(self) -> None:
         if self.port is not None:
             log.info(
                 "relay %s listens on %s:%d, %d application servers known",
@@ -212,134 +221,149 @@
                 len(self.driver.addresses),
             )
 
-    def _listen(self, clients: bool, at: told.Address, factory: ServerFactory, what: str) -> Port:
-        port = self.system.port(clients, at.port, factory, BACKLOG, at.host, self.reactor)
-        for left in reversed(range(LISTEN_TRIES)):
+    def _listen(self, clients: bool, address: configuration.Address, factory: ServerFactory, setting: str) -> Port:
+        """Listen on an address, trying again during a shortage; raise ConfigError with the ``setting`` if it fails."""
+        port = self.system.port(clients, address.port, factory, BACKLOG, address.host, self.reactor)
+        for tries_left in reversed(range(LISTEN_TRIES)):
             try:
                 port.startListening()
                 break
             except CannotListenError as error:
-                # Guards against a start that a moment's shortage of descriptors or memory ends for good.
-                if left == 0 or getattr(error.socketError, "errno", None) not in SHORTAGES:
-                    # And against a trace and an exit code of its own where the address is taken or not ours.
-                    raise told.ConfigError(f"{what}: {error}") from None
-                self.system.wait(LISTEN_PAUSE)
+                # A temporary shortage of descriptors or memory must not end the start for good.
+                if tries_left == 0 or getattr(error.socketError, "errno", None) not in SHORTAGES:
+                    # An address that is taken or is not this machine's ends it as any bad setting does, with one line
+                    # and the same exit code instead of a traceback.
+                    raise configuration.ConfigError(f"{setting}: {error}") from None
+                self.system.wait(LISTEN_PAUSE_S)
         return port
 
-    def _give_up(self, why: told.ConfigError) -> None:
-        self.failure = str(why)
+    def fail_start(self, error: configuration.ConfigError) -> None:
+        """Record why this relay can't start, and stop the reactor."""
+        self.failure = str(error)
         self.reactor.callWhenRunning(self.reactor.stop)
 
-    def _figures(self) -> list[str]:
-        sides = [line for side in self.sides for line in side.lines()]
-        own = self.driver.invariants.lines() + self.clocks.lines()
-        return self.figures.lines(self.driver.levels()) + own + sides
+    def _metric_lines(self) -> list[str]:
+        side_lines = [line for side in self.sides for line in side.lines()]
+        own_lines = self.driver.invariants.lines() + self.clocks.lines()
+        return self.figures.lines(self.driver.levels()) + own_lines + side_lines
 
-    def _told(self, yes: bool) -> str:
+    def _stage_answer(self, succeeded: bool) -> str:
         stage = self.service.stage.name.lower().replace("_", " ")
-        return f"{'ok' if yes else 'fail'} {stage}, {len(self.driver.standing())} connections stand"
+        return f"{'ok' if succeeded else 'fail'} {stage}, {len(self.driver.standing())} connections stand"
 
-    def _watch(self) -> DiscoveryWatch:
-        where = self.config.discovery
+    def _new_discovery_watch(self) -> DiscoveryWatch:
+        discovery = self.config.discovery
         return DiscoveryWatch(
-            self.reactor, where.host, where.port, self.catalog, self._listed, self._times(), self.unix_clock.seconds
+            self.reactor,
+            discovery.host,
+            discovery.port,
+            self.catalog,
+            self._membership_received,
+            self._watch_times(),
+            self.unix_clock.seconds,
         )
 
-    def _times(self) -> WatchTimes:
+    def _watch_times(self) -> WatchTimes:
         settings, rules = self.config.settings, self.config.document.rules
-        # Guards against relays in step that were told no number: the seed sets them apart as well.
-        # By turns of the golden ratio, any of them that come first, or stay, lie evenly as well.
+        # Relays that were given no number of their own would call discovery in step, so their seeds set them apart.
+        # Multiples of the golden ratio also lie evenly for any relays that start first, or that remain.
         place = settings.me * GOLDEN % 1 if settings.siblings > 1 else Random(self.config.seed).random()
         return WatchTimes(not settings.ask_discovery, rules.ask_within / 1e9, rules.drain_grace / 1e9, place)
 
     # A new configuration
 
     def reload(self, tries: int = RELOAD_TRIES) -> None:
-        """Read the file again; a discovery at another address takes over, connections and requests go on."""
-        if self.gone:
+        """Read the file again and switch to its discovery; connections and requests go on.
+
+        ``tries`` counts down the reads that are repeated, after a pause, during a temporary shortage.
+        """
+        if self.stopped:
             return
         for side in self.sides if tries == RELOAD_TRIES else ():
             side.reload()
         try:
-            self.config, before = told.read_again(self.config), self.config
-        except told.ShortageError as error:
-            # Guards against a discovery that is left for good, and never heard of, as one call failed.
+            self.config, previous = configuration.read_again(self.config), self.config
+        except configuration.ShortageError as error:
+            # Given up after one failed call, the new discovery would never be used.
             if tries > 0:
-                self.reactor.callLater(RELOAD_PAUSE, self.reload, tries - 1)
+                self.reactor.callLater(RELOAD_PAUSE_S, self.reload, tries - 1)
             else:
                 log.warning("configuration not taken, the old one stays in force: %s", error)
             return
-        except told.ConfigError as error:
-            # Guards against a half-written file that takes a running relay along.
+        except configuration.ConfigError as error:
+            # A half-written file must not end a running relay.
             log.warning("configuration not taken, the old one stays in force: %s", str(error).replace("\n", " "))
             return
-        if self.config.discovery == before.discovery:
+        if self.config.discovery == previous.discovery:
             log.info("configuration read again: discovery stays as it is")
             return
-        where = self.config.discovery
-        log.info("configuration read again: discovery is now at %s:%d", where.host, where.port)
+        discovery = self.config.discovery
+        log.info("configuration read again: discovery is now at %s:%d", discovery.host, discovery.port)
         self.discovery.close()
-        self.discovery = self._watch()
-        self.moved = True
-        if self.opened:
-            # Guards against a list that stays as old as the last call: the new discovery is asked at once, and
-            # for all of it, as the old one's versions mean nothing there. Before the start has told its list it isn't
-            # asked: that list would come after, and go before, what it says.
+        self.discovery = self._new_discovery_watch()
+        self.discovery_changed = True
+        if self.initial_list_posted:
+            # The new discovery is asked at once, or the list would stay as old as the last call, and for the whole
+            # list, as the old one's versions mean nothing to it. Before the start has posted the initial list it is
+            # not asked, as that list would come after its answer and override it.
             self.discovery.watch()
 
     # The end
 
     def drain(self) -> None:
-        """Begin the end: keep listening and answering, then move whoever stands."""
-        longest = max(each.deadline / 1e9 for each in self.config.settings.classes)
-        end = min(longest, LONGEST_DEADLINE)
-        # Guards against clients sent away while no other relay is back yet: they are served here for as
-        # long as there is time to move them one by one, or until a new version has them.
-        kept = min(HANDING if self.succession.replaced else KEPT, end / 2)
-        if self.service.end(kept, end + LEFT_OVER):
+        """Begin the end: go on listening and answering for a while, then move all clients and exit."""
+        longest_deadline = max(entry.deadline / 1e9 for entry in self.config.settings.classes)
+        moves_end = min(longest_deadline, MAX_MOVES_END_S)
+        # Other relays may still be away, as in a restart of all, and clients moved then would find none. So they are
+        # served here for as long as there is time to move them one by one, or until a new version has them.
+        moves_begin = min(MOVES_BEGIN_REPLACED_S if self.succession.replaced else MOVES_BEGIN_S, moves_end / 2)
+        if self.service.end(moves_begin, moves_end + LAST_MOVE_MARGIN_S):
             log.info("told to stop: %d requests and connections to finish", len(self.driver.transactions))
             self.succession.hand_over()
-            # Guards against a relay of short deadlines that is gone while the front still sends clients.
-            least = 0 if self.succession.replaced else max(kept, COMING)
-            self.reactor.callLater(least, self._leave_when_done)
-            self.reactor.callLater(end + LAST_CALL, self._last_call)
-
-    def _leave_when_done(self) -> None:
-        admission = self.door.reception.admission
-        # Guards against a client that is cut off while it writes. Where a new version serves, nobody comes
-        # any more, and all who are in get their time.
-        asking = admission.present() if self.succession.replaced else len(admission.writers)
-        if self.driver.transactions or asking:
-            self.reactor.callLater(0.05, self._leave_when_done)
+            # With short deadlines the relay would otherwise exit while the front still sends clients.
+            delay = 0 if self.succession.replaced else max(moves_begin, FRONT_REACTION_S)
+            self.reactor.callLater(delay, self._exit_when_done)
+            self.reactor.callLater(moves_end + FORCED_END_MARGIN_S, self._end_remaining)
+
+    def _exit_when_done(self) -> None:
+        """Begin the exit once no request, connection or client that may still ask is left."""
+        admission = self.client_factory.reception.admission
+        # A client that is writing its request must not be cut off. Where a new version serves, no more clients come,
+        # and all that are connected get their time.
+        unasked_clients = admission.present() if self.succession.replaced else len(admission.writers)
+        if self.driver.transactions or unasked_clients:
+            self.reactor.callLater(0.05, self._exit_when_done)
         else:
-            self._leave_soon()
+            self._begin_exit()
 
-    def _last_call(self) -> None:
+    def _end_remaining(self) -> None:
+        """Move or fail all that is left, and begin the exit."""
         for transaction in list(self.driver.transactions.values()):
             transaction.send_away()
             transaction.fail()
-        self._leave_soon()
+        self._begin_exit()
 
-    def _leave_soon(self) -> None:
-        """Take nothing new, refuse who is in the queue, and give all a moment to take their last answers."""
+    def _begin_exit(self) -> None:
+        """Accept no more clients, refuse those in the queue, and exit once all had time to receive the last answers."""
         if self.driver.leaving:
             return
         self.driver.leaving = True
         if not self.succession.replaced:
             self.succession.close()
             self._stop_listening()
-        # Guards against a request that comes to a resting client's connection as this process shuts it.
-        self.reactor.callLater(LAST_MOMENT / 2, self.door.reception.admission.close)
-        self.reactor.callLater(LAST_MOMENT, self._leave)
+        # A request may come on an idle client's connection just as this process closes it; idle clients are dismissed
+        # some time before the exit, so that such a request is still answered.
+        self.reactor.callLater(LAST_ANSWERS_TIME_S / 2, self.client_factory.reception.admission.close)
+        self.reactor.callLater(LAST_ANSWERS_TIME_S, self._exit)
 
     def _stop_listening(self) -> None:
         port, self.port = self.port, None
         if port is not None:
             port.stopListening()
 
-    def _leave(self) -> None:
-        if not self.gone:
-            self.gone = True
+    def _exit(self) -> None:
+        if not self.stopped:
+            self.stopped = True
             self.succession.close()
             for side in self.sides:
                 side.close()
--- a/scaledeal/quic/sockets/handover.py
+++ b/scaledeal/quic/sockets/handover.py
@@ -85,7 +85,7 @@
         try:
             self.open_socket(None)
         except ConfigError as error:
-            self.side.relay._give_up(error)
+            self.side.relay.fail_start(error)
 
     def open_socket(self, descriptor: int | None) -> None:
         """Open the listener on an inherited descriptor, or bind a socket; raise ConfigError if that fails."""
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -90,7 +90,7 @@
 
     def _reserve_descriptors(self) -> None:
         """Subtract the paths' descriptors from those that line-protocol connections may use."""
-        admission = self.relay.door.reception.admission
+        admission = self.relay.client_factory.reception.admission
         # Besides the paths: the listener, the offer's Unix socket, the connections to the old and the new process.
         needed = self.quic.max_paths + 4
         if admission.most - needed < OWN + MIN_LINE_DESCRIPTORS:
--- a/scaledeal/resume/wire/side.py
+++ b/scaledeal/resume/wire/side.py
@@ -50,7 +50,7 @@
             if set_aside_reason:
                 log.error("ledger is corrupt or can't be opened: its sessions are lost", reason=set_aside_reason)
         self.manager = SessionManager(owner, self.sealer, int(resume.expiry), self.relay.unix_clock.now)
-        self.relay.door.reception.resume.append(self.manager.accept_open)
+        self.relay.client_factory.reception.resume.append(self.manager.accept_open)
 
     def listed(self, event: api.Membership) -> None:
         """Ignore changes of the list of application servers: sessions do not depend on it."""
@@ -86,7 +86,7 @@
     def close(self) -> None:
         """Stop accepting and expiring sessions, and close the ledger."""
         self.closed = True
-        self.relay.door.reception.resume.clear()
+        self.relay.client_factory.reception.resume.clear()
         if self.ledger is not None:
             self.ledger.close()
 
--- a/tests/discovery_wire.py
+++ b/tests/discovery_wire.py
@@ -237,7 +237,7 @@
     def sent_to(self, number: int) -> str:
         """Have a client ask, and return the address where its attempt goes, if one begins at once."""
         before = len(self.net.dialled)
-        Wire(self.net, self.relay.door.buildProtocol(None)).receive(
+        Wire(self.net, self.relay.client_factory.buildProtocol(None)).receive(
             b"OPEN %x %x c=browse,d=3000,g=5c0f\r\n" % (number, number)
         )
         attempts = [made for made in self.net.dialled[before:] if made.address not in self.net.discoveries]
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -247,7 +247,7 @@
             self.driver.take,
             lambda: self.service.stage is not Stage.LAME_DUCK,
         )
-        self.service.started()
+        self.service.start_serving()
         self.list(a="127.0.0.1:1", b="127.0.0.1:2")
 
     def list(self, state: api.ServerState = api.ServerState.LIVE, **addresses: str) -> None:
@@ -331,7 +331,7 @@
 
     def resting(self) -> Wire:
         """Connect as a client does that says nothing yet."""
-        return Wire(self.reactor, self.relay.door.buildProtocol(None))
+        return Wire(self.reactor, self.relay.client_factory.buildProtocol(None))
 
     def client(self, number: int, wait: int = 3000, more: bytes = b"") -> Wire:
         made = self.resting()
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -262,7 +262,7 @@
             assert len(finals(client)) == 1 and client.fin_due, where
             play(one, act, began + wait + 4)
             assert len(client.lines()) == 1 and (term is None or one.stopped), where
-            assert not one.relay.driver.transactions and one.relay.door.reception.context.pool.out == 0, where
+            assert not one.relay.driver.transactions and one.relay.client_factory.reception.context.pool.out == 0, where
             assert all(each.over for each in one.attempts()) and not [w for w in up(one, 0) if not w.closing], where
 
 
@@ -273,7 +273,7 @@
     one.run(2)
     assert not [each for each in clients if each.lines()], "turned away with time left"
     new = api.Membership(api.MembershipKind.FULL, tuple(api.ServerEntry(f"s{n}") for n in range(3)))
-    one.relay._listed(new, {f"s{n}": f"127.0.0.1:{n + 1}" for n in range(3)})
+    one.relay._membership_received(new, {f"s{n}": f"127.0.0.1:{n + 1}" for n in range(3)})
     play(one, serve, one.reactor.seconds() + 0.5)
     assert [each.lines() for each in clients] == [[b"UP 1"]] * 20
 
@@ -428,7 +428,7 @@
     for step in range(300):
         if step == reload_at:
             one.relay.reload()
-            assert one.relay.gone or ":10/" in one.relay.discovery.base and one.relay.discovery.asked, "not asked"
+            assert one.relay.stopped or ":10/" in one.relay.discovery.base and one.relay.discovery.asked, "not asked"
         if step in (4, 8, 12, 16):  # connecting, sending, waiting, standing by the time of the next
             clients.append(one.client(step, 3000))
         for number, each in enumerate(one.attempts()):
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -1,4 +1,4 @@
-"""The last moment of a relay: what comes between its decision to go and its end."""
+"""Requests and ends of clients that come between a relay's decision to exit and its exit."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 from netfakes import OneRelay
 from twisted.internet import error
 
-from scaledeal.net.relay import LAST_CALL, LEFT_OVER, LONGEST_DEADLINE
+from scaledeal.net.relay import FORCED_END_MARGIN_S, LAST_MOVE_MARGIN_S, MAX_MOVES_END_S
 
 
 @pytest.mark.parametrize("held", [False, True])
-def test_a_request_read_after_the_decision_to_go_is_refused_and_not_sent_on(tmp_path: Path, held: bool) -> None:
-    # Guards against a request that is sent on and whose relay is gone before its answer: it counts as lost.
+def test_a_request_read_after_the_decision_to_exit_is_refused_and_not_sent_on(tmp_path: Path, held: bool) -> None:
+    # A request that is sent on while its relay exits before the answer comes counts as lost.
     one = OneRelay(tmp_path)
-    hangs = None
-    if held:  # a server that hangs keeps the relay until its last call
-        hangs = one.client(1, 60_000)
+    hanging = None
+    if held:  # a server that hangs keeps the relay until it ends what remains
+        hanging = one.client(1, 60_000)
         one.attempts()[0].up(one.reactor).flush()
     one.relay.drain()
     while not one.relay.driver.leaving:
         one.run(0.01)
-        assert one.reactor.seconds() < 1000 + LONGEST_DEADLINE + LEFT_OVER + LAST_CALL + 1, "it never goes"
-    assert hangs is None or hangs.lines() == [b"ERR"], "answered at the last call"
+        assert one.reactor.seconds() < 1000 + MAX_MOVES_END_S + LAST_MOVE_MARGIN_S + FORCED_END_MARGIN_S + 1, (
+            "it never exits"
+        )
+    assert hanging is None or hanging.lines() == [b"ERR"], "not answered as the relay ended what remained"
     before = len(one.attempts())
     late = one.client(2)
     one.reactor.advance(0)
@@ -32,7 +34,7 @@
     assert one.stopped and one.relay.driver.transactions == {}
 
 
-def test_an_end_that_crosses_the_refusal_is_no_fault(tmp_path: Path) -> None:
+def test_a_client_that_leaves_as_it_is_refused_is_no_fault(tmp_path: Path) -> None:
     one = OneRelay(tmp_path)
     one.relay.drain()
     while not one.relay.driver.leaving:
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -1,4 +1,4 @@
-"""A model of serving, draining and ending in every order, and the operators' side of it."""
+"""A model of serving, draining and ending in any order, and tests of the operators' bench."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from scaledeal import interface as api
 from scaledeal.net.lines import LINGER
-from scaledeal.net.operators import CALL_TIME, CALLERS, Operators
-from scaledeal.net.service import DRAINED, NOTICED, Stage
+from scaledeal.net.operators import CALL_TIMEOUT_S, MAX_CALLERS, Operators
+from scaledeal.net.service import LAME_DUCK_MOVES_BEGIN_S, LAME_DUCK_MOVES_END_S, Stage
 
-ENDED = 3.1  # seconds that the end gives in this model
+END_MOVES_END_S = 3.1  # after the call of ``end`` in this model
 
 
-def up(bench: Bench, number: int) -> Wire:
-    """Have a client ask and stand."""
+def establish(bench: Bench, number: int) -> Wire:
+    """Establish the connection of a new client, and return the client's wire."""
     client = bench.client()
     client.receive(b"OPEN a%d 7f3a c=browse,d=800\r\n" % number)
     bench.act(api.Send(bench.module.of(api.Request)[-1].request, "a", 0))
@@ -28,24 +28,24 @@
     return client
 
 
-class Orders(RuleBasedStateMachine):
-    """Whatever operators and the platform call, in whatever order, clients are moved when they should be."""
+class ServiceModel(RuleBasedStateMachine):
+    """Operators and the platform call in any order; clients are moved just within the times that the calls give."""
 
     def __init__(self) -> None:
         super().__init__()
         self.bench = Bench()
         self.service = self.bench.service
-        self.stage, self.since, self.by = Stage.SERVING, 0.0, 0.0
+        self.stage, self.called_at, self.moves_end = Stage.SERVING, 0.0, 0.0
         self.clients: list[Wire] = []
         self.moved = 0
 
-    def told_to_move(self) -> int:
-        return sum(b"MOVE" in each.lines() for each in self.clients)
+    def moved_clients(self) -> int:
+        return sum(b"MOVE" in client.lines() for client in self.clients)
 
     @rule(count=st.integers(1, 12))
     def clients_come(self, count: int) -> None:
         for _ in range(count):
-            self.clients.append(up(self.bench, len(self.clients)))
+            self.clients.append(establish(self.bench, len(self.clients)))
         if self.stage is Stage.SERVING:
             assert b"MOVE" not in self.clients[-1].lines()
 
@@ -53,8 +53,8 @@
     def lame_duck(self) -> None:
         assert self.service.lame_duck() == (self.stage is not Stage.ENDING)
         if self.stage is Stage.SERVING:
-            self.stage, self.since = Stage.LAME_DUCK, self.bench.reactor.seconds()
-            self.by = self.since + DRAINED
+            self.stage, self.called_at = Stage.LAME_DUCK, self.bench.reactor.seconds()
+            self.moves_end = self.called_at + LAME_DUCK_MOVES_END_S
 
     @rule()
     def rejoin(self) -> None:
@@ -62,82 +62,86 @@
         if self.stage is Stage.LAME_DUCK:
             self.stage = Stage.SERVING
 
-    @rule(kept=st.sampled_from([0.0, 1.5]))
-    def end(self, kept: float) -> None:
-        assert self.service.end(kept, ENDED) == (self.stage is not Stage.ENDING)
+    @rule(moves_begin=st.sampled_from([0.0, 1.5]))
+    def end(self, moves_begin: float) -> None:
+        assert self.service.end(moves_begin, END_MOVES_END_S) == (self.stage is not Stage.ENDING)
         now = self.bench.reactor.seconds()
         if self.stage is not Stage.ENDING:
-            lame = self.stage is Stage.LAME_DUCK
-            self.by = min(self.by, now + ENDED) if lame else now + ENDED
-            self.since = min(self.since + NOTICED, now + kept) - NOTICED if lame else now + kept - NOTICED
+            lame_duck = self.stage is Stage.LAME_DUCK
+            self.moves_end = min(self.moves_end, now + END_MOVES_END_S) if lame_duck else now + END_MOVES_END_S
+            self.called_at = (
+                min(self.called_at + LAME_DUCK_MOVES_BEGIN_S, now + moves_begin) - LAME_DUCK_MOVES_BEGIN_S
+                if lame_duck
+                else now + moves_begin - LAME_DUCK_MOVES_BEGIN_S
+            )
             self.stage = Stage.ENDING
 
     @rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 4.0]))
     def time_passes(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
             standing = len(self.bench.driver.standing())
-            left = self.by - self.bench.reactor.seconds()
+            left = self.moves_end - self.bench.reactor.seconds()
             self.bench.reactor.advance(0.05)
-            went = standing - len(self.bench.driver.standing())
+            moved = standing - len(self.bench.driver.standing())
             if self.stage is not Stage.SERVING and left > 0.1:
-                assert went <= 2 + standing * 0.05 / (left - 0.05), "a herd"
-            self.all_as_it_should_be()
+                assert moved <= 2 + standing * 0.05 / (left - 0.05), "too many moved in one round"
+            self.clients_are_moved_in_time()
 
     @invariant()
-    def all_as_it_should_be(self) -> None:
-        now, moved = self.bench.reactor.seconds(), self.told_to_move()
+    def clients_are_moved_in_time(self) -> None:
+        now, moved = self.bench.reactor.seconds(), self.moved_clients()
         assert self.service.stage is self.stage
-        if self.stage is Stage.SERVING or now < self.since + NOTICED - 0.01:
-            assert moved == self.moved, "moved though nobody drains"
-        elif now > self.by + 0.06:
+        if self.stage is Stage.SERVING or now < self.called_at + LAME_DUCK_MOVES_BEGIN_S - 0.01:
+            assert moved == self.moved, "moved outside a drain"
+        elif now > self.moves_end + 0.06:
             assert moved == len(self.clients) and not self.bench.driver.standing(), "not moved in time"
         self.moved = moved
-        # Guards against servers taken for draining because this relay moved its clients.
+        # Each is ClientGone to the module, which would otherwise take servers for draining as their clients are moved.
         assert len(self.bench.module.of(api.ClientGone)) == moved
 
     def teardown(self) -> None:
-        """Nothing is left of a drain that was ended."""
-        for each in self.clients:
-            each.lose(error.ConnectionLost())
+        """End all clients."""
+        for client in self.clients:
+            client.lose(error.ConnectionLost())
 
 
-def test_every_order_of_draining_rejoining_and_ending():
-    run_state_machine_as_test(Orders, settings=settings(max_examples=60, stateful_step_count=20))
+def test_draining_rejoining_and_ending_in_any_order():
+    run_state_machine_as_test(ServiceModel, settings=settings(max_examples=60, stateful_step_count=20))
 
 
-def test_moves_are_spread_over_the_drain_and_rejoin_cancels_what_is_left():
+def test_moves_are_spread_over_the_drain_and_rejoin_cancels_the_rest():
     bench = Bench()
-    clients = [up(bench, number) for number in range(40)]
+    clients = [establish(bench, number) for number in range(40)]
     bench.service.lame_duck()
     for _ in range(39):
         bench.reactor.advance(0.05)
-    assert 15 <= len(bench.driver.standing()) <= 25, "half the time, about half of them"
+    assert 15 <= len(bench.driver.standing()) <= 25, "about half of the clients are moved in half of the time"
     bench.service.rejoin()
     left = len(bench.driver.standing())
     for _ in range(100):
         bench.reactor.advance(0.05)
     assert len(bench.driver.standing()) == left
-    late = up(bench, 99)
+    late = establish(bench, 99)
     assert b"MOVE" not in late.lines() and sum(b"MOVE" in c.lines() for c in clients) == 40 - left
 
 
-class Calls:
-    """Operators who call, on fakes."""
+class OperatorsBench:
+    """The operators' server, and callers on fake connections."""
 
     def __init__(self) -> None:
-        self.bench = Bench()
+        self.net = Bench()
         self.operators = Operators(
-            self.bench.reactor, self.bench.pool, {b"PING": lambda: "ok serving", b"INFO": lambda: "ok\na 1\neof"}
+            self.net.reactor, self.net.pool, {b"PING": lambda: "ok serving", b"INFO": lambda: "ok\na 1\neof"}
         )
 
     def caller(self, sends: bytes = b"") -> Wire:
-        made = Wire(self.bench.reactor, self.operators.buildProtocol(None))
-        made.receive(sends)
-        return made
+        caller = Wire(self.net.reactor, self.operators.buildProtocol(None))
+        caller.receive(sends)
+        return caller
 
 
 @pytest.mark.parametrize(
-    ("sent", "told"),
+    ("sent", "answer"),
     [
         (b"PING\r\n", b"ok serving"),
         (b"PING\n", b"ok serving"),
@@ -151,27 +155,27 @@
         (b"x" * 5000 + b"\n", b"fail"),
     ],
 )
-def test_a_call_gets_one_answer_and_the_end(sent, told):
-    calls = Calls()
-    caller = calls.caller(sent)
+def test_a_call_gets_one_answer_and_its_connection_is_closed(sent, answer):
+    bench = OperatorsBench()
+    caller = bench.caller(sent)
     first = caller.lines()[0]
-    assert first.split(b" ")[0] == told.split(b" ")[0] and caller.fin_due
+    assert first.split(b" ")[0] == answer.split(b" ")[0] and caller.fin_due
     assert len(caller.lines()) == (3 if sent == b"INFO\n" else 1)
-    calls.bench.reactor.advance(LINGER + 0.1)
-    calls.bench.reactor.advance(0)
-    assert caller.lost and not calls.operators.callers and calls.bench.pool.out == 0
+    bench.net.reactor.advance(LINGER + 0.1)
+    bench.net.reactor.advance(0)
+    assert caller.lost and not bench.operators.callers and bench.net.pool.out == 0
 
 
-def test_callers_that_stall_are_bounded_in_time_and_number_and_hold_nobody_up():
-    calls = Calls()
-    half = calls.caller(b"PIN")
-    ended = calls.caller(b"PIN")
+def test_callers_that_stall_are_bounded_in_time_and_number_and_do_not_delay_others():
+    bench = OperatorsBench()
+    incomplete = bench.caller(b"PIN")
+    ended = bench.caller(b"PIN")
     ended.peer_ends()
     assert ended.lines()[0].startswith(b"fail")
-    calls.bench.reactor.advance(CALL_TIME)
-    assert half.lines()[0].startswith(b"fail") and half.fin_due
-    stalling = [calls.caller(b"" if number % 2 else b"INF") for number in range(4 * CALLERS)]
-    assert calls.caller(b"PING\n").lines() == [b"ok serving"]
-    calls.bench.reactor.advance(0)
-    assert sum(not each.lost for each in stalling) < CALLERS == len(calls.operators.callers)
-    assert calls.bench.pool.out <= CALLERS
+    bench.net.reactor.advance(CALL_TIMEOUT_S)
+    assert incomplete.lines()[0].startswith(b"fail") and incomplete.fin_due
+    stalling = [bench.caller(b"" if number % 2 else b"INF") for number in range(4 * MAX_CALLERS)]
+    assert bench.caller(b"PING\n").lines() == [b"ok serving"]
+    bench.net.reactor.advance(0)
+    assert sum(not caller.lost for caller in stalling) < MAX_CALLERS == len(bench.operators.callers)
+    assert bench.net.pool.out <= MAX_CALLERS
