--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -162,7 +162,7 @@
         if not self.config.settings.ask_discovery:
             # The module asks for the list only where discovery is one service for all relays, and after any failure,
             # so without this call a pushed list would never be read. The agent on this machine answers at once and at
-            # no cost, and what it holds counts as told, so it is watched from the start.
+            # no cost, and this relay is held to know what it has, so it is watched from the start.
             self.discovery.watch()
         if descriptor is None:
             try:
@@ -179,9 +179,9 @@
             os.close(descriptor)
             self.adopted = True
             log.info("taking over from the process that serves: waiting for the whole list")
-        # The list in the file may be out of date, but what discovery had 6 s ago counts as told from the first moment.
-        # So a front is told that this relay serves only with a fresh list, unless discovery can't be reached. Clients
-        # that come before are served, as a front that has not noticed a restart goes on sending them.
+        # The list in the file may be out of date, but from its first moment the relay is held to know what discovery
+        # had 6 s ago. So it reports to a front that it serves only with a fresh list, unless discovery can't be
+        # reached. Clients that come before are served, as a front that has not noticed a restart goes on sending them.
         self.reactor.callLater(INITIAL_LIST_TIMEOUT_S, self._start_serving)
 
     def _membership_received(self, event: api.Membership, addresses: dict[str, str]) -> None:
