--- a/scaledeal/lab/hosts/relay/host.py
+++ b/scaledeal/lab/hosts/relay/host.py
@@ -409,7 +409,7 @@
         fleet.checker.resources_left(name, "transactions", len(relay.driver.transactions), fleet.kernel.now)
         fleet.checker.resources_left(name, "flights", len(relay.driver.balancer.requests), fleet.kernel.now)
         fleet.checker.resources_left(
-            name, "buffers", relay.door.client_context.attempt_context.pool.in_use, fleet.kernel.now
+            name, "buffers", relay.client_factory.client_context.attempt_context.pool.in_use, fleet.kernel.now
         )
 
 
--- a/scaledeal/net/driver.py
+++ b/scaledeal/net/driver.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from scaledeal import interface as api
-from scaledeal.net.config import ConfigError, address
+from scaledeal.net.config import ConfigError, parse_address
 from scaledeal.net.delays import Delays
 from scaledeal.net.figures import EndCause, Figures
 from scaledeal.net.invariants import Invariants
@@ -299,7 +299,7 @@
     valid = {}
     for server, listed in addresses.items():
         try:
-            address(listed, f"address of {server}")
+            parse_address(listed, f"address of {server}")
             valid[server] = listed
         except ConfigError as error:
             log.warning("server list partly ignored: %s", error)
--- a/scaledeal/quic/sockets/side.py
+++ b/scaledeal/quic/sockets/side.py
@@ -90,7 +90,7 @@
 
     def _reserve_descriptors(self) -> None:
         """Subtract the paths' descriptors from those that line-protocol connections may use."""
-        admission = self.relay.door.client_context.admission
+        admission = self.relay.client_factory.client_context.admission
         # Besides the paths: the listener, the offer's Unix socket, the connections to the old and the new process.
         needed = self.quic.max_paths + 4
         if admission.limit - needed < RESERVED_DESCRIPTORS + MIN_LINE_DESCRIPTORS:
@@ -102,7 +102,7 @@
 
     def start(self) -> None:
         """Request the socket from an old process, or bind it; raise ConfigError if that fails."""
-        self.handover.begin(self.relay.config.folder, config.address(self.quic.listen, "quic.listen"))
+        self.handover.begin(self.relay.config.folder, config.parse_address(self.quic.listen, "quic.listen"))
 
     def serve(self) -> None:
         """Start serving datagrams, and start the periodic checks."""
--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -252,7 +252,7 @@
             self.driver.begin_transaction,
             lambda: self.service.stage is not Stage.LAME_DUCK,
         )
-        self.service.started()
+        self.service.start_serving()
         self.list(a="127.0.0.1:1", b="127.0.0.1:2")
 
     def list(self, state: api.ServerState = api.ServerState.LIVE, **addresses: str) -> None:
@@ -338,7 +338,7 @@
 
     def idle_client(self) -> Wire:
         """Connect as a client that sends nothing yet."""
-        return Wire(self.reactor, self.relay.door.buildProtocol(None))
+        return Wire(self.reactor, self.relay.client_factory.buildProtocol(None))
 
     def client(self, number: int, wait: int = 3000, more: bytes = b"") -> Wire:
         """Connect as a client and send a request with id ``number`` that waits ``wait`` ms."""
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -272,7 +272,8 @@
             play(one, act, began + wait + 4)
             assert len(client.lines()) == 1 and (sigterm_after is None or one.stopped), case
             assert (
-                not one.relay.driver.transactions and one.relay.door.client_context.attempt_context.pool.in_use == 0
+                not one.relay.driver.transactions
+                and one.relay.client_factory.client_context.attempt_context.pool.in_use == 0
             ), case
             assert all(each.over for each in one.attempts()) and not [w for w in up(one, 0) if not w.closing], case
 
@@ -284,7 +285,7 @@
     one.run(2)
     assert not [each for each in clients if each.lines()], "answered before their deadline, without a server"
     first_list = api.Membership(api.MembershipKind.FULL, tuple(api.ServerEntry(f"s{n}") for n in range(3)))
-    one.relay._listed(first_list, {f"s{n}": f"127.0.0.1:{n + 1}" for n in range(3)})
+    one.relay._membership_received(first_list, {f"s{n}": f"127.0.0.1:{n + 1}" for n in range(3)})
     play(one, serve, one.reactor.seconds() + 0.5)
     assert [each.lines() for each in clients] == [[b"UP 1"]] * 20
 
@@ -446,7 +447,7 @@
     for step in range(300):
         if step == reload_at:
             one.relay.reload()
-            assert one.relay.gone or ":10/" in one.relay.discovery.base and one.relay.discovery.asked, (
+            assert one.relay.stopped or ":10/" in one.relay.discovery.base and one.relay.discovery.asked, (
                 "the new discovery was not called"
             )
         if step in (4, 8, 12, 16):  # connecting, sending, waiting, established at the time of the next
