--- a/scaledeal/net/discovery_watch.py
+++ b/scaledeal/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Discovery's list of application servers, kept up by a long-poll watch over HTTP/1.1."""
+"""Discovery's list of application servers, kept up to date by a long-poll watch over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from twisted.web.client import Agent, HTTPConnectionPool
 
 from scaledeal import interface as api
-from scaledeal.net.http_body import HeaderBound, TooLongError, read_body
+from scaledeal.net.http_body import BodyTooLongError, HeaderLimit, read_body
 from scaledeal.net.ports import Reactor, Timer
-from scaledeal.net.roster import Catalog, Roster, readable
-from scaledeal.net.watch_times import BODY, WatchTimes
+from scaledeal.net.roster import Catalog, Roster, decode_readable_entries
+from scaledeal.net.watch_times import BODY_TIMEOUT_S, WatchTimes
 
 log = logging.getLogger("scaledeal.discovery")
 
-Tell = Callable[[api.Membership, dict[str, str]], None]
+MembershipCallback = Callable[[api.Membership, dict[str, str]], None]
 
-HEADER = 256 << 10  # bytes of the longest header of an answer
-LIST = 4 << 20  # bytes of the longest answer: 1,024 servers, each on a line as long as the protocol allows
-BUSY = 503  # what discovery answers to a call that would wait too long for its turn
-TOO_LONG = "the header of an answer is longer than any"
-CONNECT = 2.0  # seconds that a connection to discovery may take
+MAX_HEADER_BYTES = 256 << 10
+MAX_LIST_BYTES = 4 << 20  # 1,024 servers, each on a line as long as the protocol allows
+BUSY_STATUS = 503  # discovery's answer to a call that would wait too long for its turn
+HEADER_TOO_LONG = "the answer's header exceeds the size limit of 256 KiB"
+CONNECT_TIMEOUT_S = 2.0
 
 
 class BusyError(ConnectionError):
-    """Discovery answered that it has no time for this call."""
+    """Discovery refused the call because it is busy."""
 
 
-class NoListError(ConnectionError):
-    """Discovery answered something else than a list."""
+class UnexpectedStatusError(ConnectionError):
+    """Discovery answered with a status other than 200."""
 
 
 class DiscoveryWatch:
-    """One watch at a time, which begins with a call that doesn't wait and is made good until it is closed.
+    """A watch on one discovery, with one call at a time: the first does not wait, and failed ones are retried.
 
-    A call that falls silent is made anew at once, one that fails after a pause of ``WatchTimes``; that discovery can't
-    be reached is told as LOST. It speaks with one discovery. Another is another watch: its versions are its own.
+    A call that times out is repeated at once, one that fails after a pause of ``WatchTimes``. That discovery can't be
+    reached is reported as LOST. Another discovery needs another watch, as the versions of its list are its own.
     """
 
     def __init__(
@@ -49,163 +49,178 @@
         host: str,
         port: int,
         catalog: Catalog,
-        tell: Tell,
+        report: MembershipCallback,
         times: WatchTimes,
-        unix: Callable[[], float],
+        unix_time: Callable[[], float],
     ) -> None:
         self.reactor = reactor
-        self.base = f"http://{host}:{port}/catalog/members"
+        self.url = f"http://{host}:{port}/catalog/members"
         self.catalog = catalog
-        self.tell = tell
+        self.report = report
         self.times = times
-        self.unix = unix  # seconds on the clock that all machines read
-        self.index: int | None = None  # version of the list held; none before the whole list has come
+        self.unix_time = unix_time  # seconds on the clock that all machines read
+        self.index: int | None = None  # version of the list held; None until a whole list has arrived
         self.watching = False
         self.closed = False
         self.pool = HTTPConnectionPool(reactor, persistent=True)
-        self.pool.retryAutomatically = False  # a failed call is made again here, at its time
+        self.pool.retryAutomatically = False  # this class retries failed calls at their own times
         self.pool.maxPersistentPerHost = 1
-        self.header = HeaderBound(reactor, CONNECT, HEADER)
-        self.agent: Any = Agent.usingEndpointFactory(reactor, self.header, self.pool)
-        self.asked: Deferred[Any] | None = None  # the call that is out
-        self.why = ""  # why the last one failed
-        self.waits = 0.0  # seconds that it may wait for news
-        self.late = 0.0  # seconds after that at which it is given up
-        self.begun = False  # whether its answer has begun
-        self.began = 0.0  # when it was made, in ``unix``
-        self.timer: Timer | None = None  # ends the call that is out, or begins the next one
-
-    def start_with(self, known: Roster, whole: bool) -> None:
-        """Tell the list as it was last held, and go on from there or ask for the whole of it."""
-        self.index = None if whole else known.index
-        self._tell(api.MembershipKind.INITIAL, *self.catalog.read(known, self.unix()))
+        self.header_limit = HeaderLimit(reactor, CONNECT_TIMEOUT_S, MAX_HEADER_BYTES)
+        self.http_agent: Any = Agent.usingEndpointFactory(reactor, self.header_limit, self.pool)
+        self.call: Deferred[Any] | None = None  # the call that is out
+        self.failure_reason = ""  # of the last failed call
+        self.wait = 0.0  # seconds that the call may wait for news
+        self.answer_timeout = 0.0  # seconds after that wait at which the call times out
+        self.answer_started = False  # whether the answer to the call has begun
+        self.call_started = 0.0  # when the call was made, in ``unix_time``
+        self.timer: Timer | None = None  # ends the call that is out, or starts the next one
+
+    def resume_from(self, known: Roster, request_whole: bool) -> None:
+        """Report the last known list as INITIAL, and watch on from its version or request the whole list."""
+        self.index = None if request_whole else known.index
+        self._report(api.MembershipKind.INITIAL, *self.catalog.read(known, self.unix_time()))
 
     def watch(self) -> None:
-        """Ask for changes from here on, until closed; for the whole list where none is held yet."""
+        """Request changes from now on until closed; first the whole list if no version is held."""
         if not self.watching and not self.closed:
             self.watching = True
             self._call(0.0)
 
     def close(self) -> None:
-        """End the watch for good; a late answer or failure of it touches nothing."""
+        """End the watch for good; a late answer or failure of its call has no effect."""
         self.closed = True
         self._stop_timer()
-        if self.asked is not None:
-            self.asked.cancel()
+        if self.call is not None:
+            self.call.cancel()
         self.pool.closeCachedConnections()
 
-    def _call(self, waits: float) -> None:
-        self.waits, self.begun, self.began = waits, False, self.unix()
-        query = "" if self.index is None else f"?after={self.index}&wait_ms={int(waits * 1000)}"
-        self.header.begins()
-        asked: Deferred[Any] = self.agent.request(b"GET", (self.base + query).encode())
-        self.asked = asked
-        self.late = self.times.patience(waits) - waits
-        self._give_up_after(waits + self.late, asked)
-        asked.addCallback(self._read, asked)
-        asked.addCallbacks(self._answered, self._failed)
-        asked.addErrback(self._not_told, asked)
-
-    def _give_up_after(self, patience: float, asked: Deferred[Any]) -> None:
+    def _call(self, wait: float) -> None:
+        self.wait, self.answer_started, self.call_started = wait, False, self.unix_time()
+        query = "" if self.index is None else f"?after={self.index}&wait_ms={int(wait * 1000)}"
+        self.header_limit.call_started()
+        call: Deferred[Any] = self.http_agent.request(b"GET", (self.url + query).encode())
+        self.call = call
+        self.answer_timeout = self.times.timeout(wait) - wait
+        self._set_timeout(wait + self.answer_timeout, call)
+        call.addCallback(self._read_answer, call)
+        call.addCallbacks(self._handle_answer, self._handle_failure)
+        call.addErrback(self._handle_internal_error, call)
+
+    def _set_timeout(self, timeout: float, call: Deferred[Any]) -> None:
         self._stop_timer()
-        self.timer = self.reactor.callLater(patience, asked.cancel)
+        self.timer = self.reactor.callLater(timeout, call.cancel)
 
     def _stop_timer(self) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
-    def _read(self, response: Any, asked: Deferred[Any]) -> Deferred[bytes]:
-        # Guards against an answer that never ends: it may hold news, which counts as told from when it is written.
-        self._give_up_after(BODY, asked)
-        self.begun = True
-        self.header.ended()
-        body: Deferred[bytes] = read_body(response, LIST)
+    def _read_answer(self, response: Any, call: Deferred[Any]) -> Deferred[bytes]:
+        # An answer that never ends may contain news, which is presumed known from the moment at which it was written,
+        # so the time that a body may take is limited.
+        self._set_timeout(BODY_TIMEOUT_S, call)
+        self.answer_started = True
+        self.header_limit.header_complete()
+        body: Deferred[bytes] = read_body(response, MAX_LIST_BYTES)
         if response.code != 200:
-            body.addCallback(lambda _: _refused(response.code))
+            body.addCallback(lambda _: _raise_status(response.code))
         return body
 
-    def _answered(self, body: bytes) -> None:
+    def _handle_answer(self, body: bytes) -> None:
         self._stop_timer()
-        if self.closed:  # guards against the list of a discovery that another has taken over from
+        if self.closed:  # another discovery has replaced this one, whose list must not be reported any more
             return
         try:
             roster = msgspec.json.decode(body, type=Roster)
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            self._again(f"answer not understood: {error}", self.times.pause(0.0, False))
-            if (rest := readable(body)).endpoints:
-                self._tell(api.MembershipKind.CHANGES, *self.catalog.read(rest, self.unix()))
+            self._retry_after(f"answer not understood: {error}", self.times.retry_pause(0.0, False))
+            if (readable := decode_readable_entries(body)).endpoints:
+                self._report(api.MembershipKind.CHANGES, *self.catalog.read(readable, self.unix_time()))
             return
-        listed, addresses = self.catalog.read(roster, self.unix())
+        listed, addresses = self.catalog.read(roster, self.unix_time())
         went_back = not roster.snapshot and self.index is not None and roster.index < self.index
-        # The next call goes out before the list is told: a watch goes on only if it comes within 200 ms.
+        # The next call goes out before the list is reported: discovery treats a watch as continued only if the next
+        # call comes within 200 ms.
         if went_back:
-            # Guards against changes that no longer follow on from the list held here. What they tell counts as told.
-            log.warning("discovery list went back from %d to %d: asking for all of it", self.index, roster.index)
+            # These changes do not follow on from the list held here, so the whole list is requested. They are reported
+            # all the same, as what discovery has sent is presumed known.
+            log.warning(
+                "discovery list version went back from %d to %d: requesting the whole list", self.index, roster.index
+            )
             self.index = None
             self._call(0.0)
         else:
             self.index = roster.index
-            if self.times.missed:
-                log.info("discovery list is told again after %d failed calls", self.times.missed)
-            self.times.answered()
-            self._call(self.times.wait(self.unix()))
-        self._tell(api.MembershipKind.FULL if roster.snapshot else api.MembershipKind.CHANGES, listed, addresses)
-
-    def _tell(self, kind: api.MembershipKind, listed: tuple[api.ServerEntry, ...], addresses: dict[str, str]) -> None:
-        self.tell(api.Membership(kind, listed), addresses)
-
-    def _not_told(self, failure: Failure, asked: Deferred[Any]) -> None:
-        """Guard against a fault of this relay's own that ends the watch for good."""
-        log.error("discovery list could not be told: %s", failure.getTraceback())
-        if self.asked is asked and not self.closed:
+            if self.times.failures:
+                log.info("discovery list received again after %d failed calls", self.times.failures)
+            self.times.record_answer()
+            self._call(self.times.wait_time(self.unix_time()))
+        self._report(api.MembershipKind.FULL if roster.snapshot else api.MembershipKind.CHANGES, listed, addresses)
+
+    def _report(self, kind: api.MembershipKind, listed: tuple[api.ServerEntry, ...], addresses: dict[str, str]) -> None:
+        self.report(api.Membership(kind, listed), addresses)
+
+    def _handle_internal_error(self, failure: Failure, call: Deferred[Any]) -> None:
+        """Retry after an exception in this relay's own code, which would otherwise end the watch for good."""
+        log.error("discovery list could not be processed: %s", failure.getTraceback())
+        if self.call is call and not self.closed:
             self.index = None
-            self._again("a fault in the relay", self.times.pause(0.0, False))
+            self._retry_after("a fault in the relay", self.times.retry_pause(0.0, False))
 
-    def _failed(self, failure: Failure) -> None:
-        silent = self.timer is not None and not self.timer.active()
+    def _handle_failure(self, failure: Failure) -> None:
+        timed_out = self.timer is not None and not self.timer.active()
         self._stop_timer()
         if self.closed:
             self.watching = False
-        elif silent:
-            self._fell_silent()
+        elif timed_out:
+            self._handle_timeout()
         elif failure.check(BusyError):
-            self._again(failure.getErrorMessage(), self.times.refused())
+            self._retry_after(failure.getErrorMessage(), self.times.busy_pause())
         else:
-            broke = failure.check(NoListError, TooLongError) is None and not self.header.too_long
-            took = 0.0 if self.waits else self.unix() - self.began
-            why = TOO_LONG if self.header.too_long else _reason(failure)
-            self._again(why, self.times.pause(took, broke))
-            if broke:
-                self.tell(api.Membership(api.MembershipKind.LOST), {})
-
-    def _fell_silent(self) -> None:
-        """Guard against news that counts as told though it never came: ask again, an agent after its pause."""
-        why, unheard = self._missed(), not self.begun
-        if not self.times.pushed or self.waits:
-            if not self.times.missed:
-                log.warning("discovery watch fell silent: %s; opened anew", why)
-            self.times.silent()
+            connection_failed = (
+                failure.check(UnexpectedStatusError, BodyTooLongError) is None and not self.header_limit.too_long
+            )
+            elapsed = 0.0 if self.wait else self.unix_time() - self.call_started
+            reason = HEADER_TOO_LONG if self.header_limit.too_long else _failure_reason(failure)
+            self._retry_after(reason, self.times.retry_pause(elapsed, connection_failed))
+            if connection_failed:
+                self.report(api.Membership(api.MembershipKind.LOST), {})
+
+    def _handle_timeout(self) -> None:
+        """Repeat a call that timed out at once, a call to an agent after its pause.
+
+        News that never arrived is presumed known all the same, so a silent call must not delay the next one.
+        """
+        reason, unanswered = self._timeout_reason(), not self.answer_started
+        if not self.times.pushed or self.wait:
+            if not self.times.failures:
+                log.warning("discovery watch timed out: %s; opened again", reason)
+            self.times.record_timeout()
             self._call(0.0)
         else:
-            self._again(why, self.times.pause(0.0))
-        if unheard:
-            self.tell(api.Membership(api.MembershipKind.LOST), {})
-
-    def _missed(self) -> str:
-        if self.begun:
-            return f"an answer did not end within {BODY:.1f} s"
-        return f"no answer {self.late:.1f} s after " + (f"a wait of {self.waits:.1f} s" if self.waits else "the call")
-
-    def _again(self, why: str, pause: float) -> None:
-        """Ask again after a pause; of a row of like failures the first is logged, and the number of all at its end."""
-        self.asked = None
-        if self.times.missed <= 1 or why != self.why:
-            log.warning("discovery list lost: %s; asked again until it is told", why)
-        self.why = why
+            self._retry_after(reason, self.times.retry_pause(0.0))
+        if unanswered:
+            self.report(api.Membership(api.MembershipKind.LOST), {})
+
+    def _timeout_reason(self) -> str:
+        if self.answer_started:
+            return f"an answer did not end within {BODY_TIMEOUT_S:.1f} s"
+        return f"no answer {self.answer_timeout:.1f} s after " + (
+            f"a wait of {self.wait:.1f} s" if self.wait else "the call"
+        )
+
+    def _retry_after(self, reason: str, pause: float) -> None:
+        """Call again after a pause, in seconds.
+
+        Of a series of failures for the same reason only the first is logged; the number of all is logged at its end.
+        """
+        self.call = None
+        if self.times.failures <= 1 or reason != self.failure_reason:
+            log.warning("discovery call failed: %s; retrying until a list arrives", reason)
+        self.failure_reason = reason
         self.timer = self.reactor.callLater(pause, self._call, 0.0)
 
 
-def _reason(failure: Failure) -> str:
+def _failure_reason(failure: Failure) -> str:
     """Return why a call failed in one line: Twisted wraps the cause in failures, which print as tracebacks."""
     value: Any = failure.value
     while True:
@@ -217,5 +232,5 @@
     return " ".join(str(value).split()) or repr(value)
 
 
-def _refused(code: int) -> bytes:
-    raise (BusyError if code == BUSY else NoListError)(f"discovery answered {code}")
+def _raise_status(status: int) -> bytes:
+    raise (BusyError if status == BUSY_STATUS else UnexpectedStatusError)(f"discovery answered {status}")
--- a/scaledeal/net/http_body.py
+++ b/scaledeal/net/http_body.py
@@ -1,4 +1,4 @@
-"""Bounds an answer over HTTP in bytes: its header, and its body as that is read."""
+"""Limits on the size of an HTTP answer: of its header, and of its body while that is read."""
 
 from __future__ import annotations
 
@@ -14,104 +14,106 @@
 from zope.interface import implementer
 
 
-class TooLongError(Exception):
-    """A body that goes on past its bound."""
+class BodyTooLongError(Exception):
+    """A body that is longer than its limit."""
 
 
-class _Body(Protocol):
-    def __init__(self, most: int) -> None:
-        self.left = most
+class _BodyReader(Protocol):
+    def __init__(self, max_bytes: int) -> None:
+        self.remaining = max_bytes
         self.parts: list[bytes] = []
-        self.whole: Deferred[bytes] = Deferred(lambda _: self._end())
+        self.finished: Deferred[bytes] = Deferred(lambda _: self._close())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802, D102
-        self.left -= len(data)
-        if self.left >= 0:
+        self.remaining -= len(data)
+        if self.remaining >= 0:
             self.parts.append(data)
             return
-        self.parts.clear()  # guards against an answer that fills the memory while its connection still closes
-        if not self.whole.called:
-            self.whole.errback(TooLongError("the answer is longer than any list"))
-            self._end()
+        self.parts.clear()  # otherwise an answer could fill the memory while its connection still closes
+        if not self.finished.called:
+            self.finished.errback(BodyTooLongError("the answer's body exceeds the size limit of a list"))
+            self._close()
 
     def connectionLost(self, reason: Failure = Failure(ResponseDone())) -> None:  # noqa: N802, B008, D102
-        if self.whole.called:
+        if self.finished.called:
             return
         if reason.check(ResponseDone, PotentialDataLoss):
-            self.whole.callback(b"".join(self.parts))
+            self.finished.callback(b"".join(self.parts))
         else:
-            self.whole.errback(reason)
+            self.finished.errback(reason)
 
-    def _end(self) -> None:
-        # Guards against an answer without an end that keeps its connection: a body's transport can't be aborted.
+    def _close(self) -> None:
+        # A body's transport has no abortConnection(); without this an endless answer would keep its connection.
         transport: Any = self.transport
         if transport is not None:
             transport.loseConnection()
 
 
-def read_body(response: Any, most: int) -> Deferred[bytes]:
-    """Return what the response holds, ``most`` bytes at most: one that is longer fails with ``TooLongError``.
+def read_body(response: Any, max_bytes: int) -> Deferred[bytes]:
+    """Return the body of the response; one longer than ``max_bytes`` fails with ``BodyTooLongError``.
 
-    Cancelled, it ends the connection; so does a body that is too long.
+    Cancelling the Deferred closes the connection, and so does a body that is too long.
     """
-    body = _Body(most)
-    response.deliverBody(body)
-    return body.whole
+    reader = _BodyReader(max_bytes)
+    response.deliverBody(reader)
+    return reader.finished
 
 
 @implementer(IAgentEndpointFactory)
-class HeaderBound:
-    """Opens the connections of an HTTP client that has one call out, and resets one whose header has no end.
+class HeaderLimit:
+    """Opens the connections of an HTTP client that has one call at a time, and resets one whose header is too long.
 
-    Guards against a header that fills the memory up to the end of a wait: the client itself bounds a line of it, and
-    not their number.
+    The client itself limits the length of a header line but not their number, so that an endless header could fill
+    the memory until the call times out.
     """
 
-    def __init__(self, reactor: Any, connect: float, most: int) -> None:
-        """``connect`` is how many seconds a connection may take, ``most`` the bytes of a header."""
+    def __init__(self, reactor: Any, connect_timeout: float, max_bytes: int) -> None:
+        """Allow a connection ``connect_timeout`` seconds to open, and a header ``max_bytes``."""
         self.reactor = reactor
-        self.connect_time = connect
-        self.most = most
-        self.left = most
-        self.reading = False  # a call is out whose answer has not begun, or whose header goes on
+        self.connect_timeout = connect_timeout
+        self.max_bytes = max_bytes
+        self.remaining = max_bytes
+        self.reading = False  # a call is out whose header has not begun or is not complete
         self.too_long = False
 
-    def begins(self) -> None:
-        """Hear that a call goes out."""
-        self.left, self.reading, self.too_long = self.most, True, False
+    def call_started(self) -> None:
+        """Start to count the header of a new call's answer."""
+        self.remaining, self.reading, self.too_long = self.max_bytes, True, False
 
-    def ended(self) -> None:
-        """Hear that its answer's header is whole."""
+    def header_complete(self) -> None:
+        """Stop counting: the header of the answer is complete."""
         self.reading = False
 
-    def endpointForURI(self, uri: URI) -> _Bounded:  # noqa: N802, D102
-        return _Bounded(self, HostnameEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.connect_time))
+    def endpointForURI(self, uri: URI) -> _CountingEndpoint:  # noqa: N802, D102
+        return _CountingEndpoint(
+            self, HostnameEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=self.connect_timeout)
+        )
 
-    def came(self, size: int, transport: Any) -> None:
-        """Hear that so many bytes have been read."""
+    def bytes_received(self, size: int, transport: Any) -> None:
+        """Count bytes read from a connection, and reset it where the header exceeds the limit."""
         if self.reading:
-            self.left -= size
-            if self.left < 0:
+            self.remaining -= size
+            if self.remaining < 0:
                 self.too_long, self.reading = True, False
                 transport.abortConnection()
 
 
-class _Bounded:
-    """An endpoint whose connections tell how many bytes they have read."""
+class _CountingEndpoint:
+    """An endpoint whose connections report how many bytes they have read."""
 
-    def __init__(self, bound: HeaderBound, inner: HostnameEndpoint) -> None:
-        self.bound, self.inner = bound, inner
+    def __init__(self, limit: HeaderLimit, inner: HostnameEndpoint) -> None:
+        self.limit, self.inner = limit, inner
 
     def connect(self, factory: Any) -> Deferred[Any]:
         connected: Deferred[Any] = self.inner.connect(factory)
-        return connected.addCallback(self._counted)
+        return connected.addCallback(self._count_bytes)
 
-    def _counted(self, client: Any) -> Any:
-        read = client.dataReceived
+    def _count_bytes(self, client: Any) -> Any:
+        data_received = client.dataReceived
 
         def counted(data: bytes) -> None:
-            read(data)
-            self.bound.came(len(data), client.transport)
+            data_received(data)
+            self.limit.bytes_received(len(data), client.transport)
 
         client.dataReceived = counted
         return client
--- a/scaledeal/net/relay.py
+++ b/scaledeal/net/relay.py
@@ -26,7 +26,7 @@
 from scaledeal.net.health_probe import HealthProbes
 from scaledeal.net.operators import Operators
 from scaledeal.net.ports import Port, Reactor
-from scaledeal.net.roster import Calendar, Catalog
+from scaledeal.net.roster import Catalog, UnixTimeConverter
 from scaledeal.net.service import Service, Stage
 from scaledeal.net.sides import Side
 from scaledeal.net.socket_errors import SHORTAGES
@@ -34,7 +34,7 @@
 from scaledeal.net.system import System
 from scaledeal.net.trace import open_trace
 from scaledeal.net.user_agent import ClientContext
-from scaledeal.net.watch_times import GOLDEN, WatchTimes
+from scaledeal.net.watch_times import GOLDEN_RATIO, WatchTimes
 from scaledeal.net.wording import report_reader
 
 log = logging.getLogger("scaledeal.relay")
@@ -77,7 +77,7 @@
         )
         self.unix_clock = UnixClock(self.system.monotonic, self.system.unix())
         self.clocks = ClockMonitor(reactor, self.system.monotonic, self.system.unix)
-        self.catalog = Catalog(document.failure_domains, Calendar(self.unix_clock.offset))
+        self.catalog = Catalog(document.failure_domains, UnixTimeConverter(self.unix_clock.offset))
         self.discovery = self._watch()
         self.driver.watch = lambda: self.discovery.watch()
         classes = {entry.name: number for number, entry in enumerate(document.classes)}
@@ -153,7 +153,7 @@
     def _open(self, descriptor: int | None) -> None:
         """Listen on the socket that was handed over, or on one of our own."""
         self.opened = True
-        self.discovery.start_with(self.config.known, descriptor is not None or self.moved)
+        self.discovery.resume_from(self.config.known, descriptor is not None or self.moved)
         if not self.config.settings.ask_discovery:
             # Guards against a list that is never read where it is pushed: the agent on this machine answers at
             # once and at no cost, and what it holds counts as told, so it is watched from the start. The module
@@ -251,7 +251,7 @@
         settings, rules = self.config.settings, self.config.document.rules
         # Guards against relays in step that were told no number: the seed sets them apart as well.
         # By turns of the golden ratio, any of them that come first, or stay, lie evenly as well.
-        place = settings.me * GOLDEN % 1 if settings.siblings > 1 else Random(self.config.seed).random()
+        place = settings.me * GOLDEN_RATIO % 1 if settings.siblings > 1 else Random(self.config.seed).random()
         return WatchTimes(not settings.ask_discovery, rules.ask_within / 1e9, rules.drain_grace / 1e9, place)
 
     # A new configuration
--- a/scaledeal/net/roster.py
+++ b/scaledeal/net/roster.py
@@ -1,4 +1,4 @@
-"""Discovery's list as it stands on the wire, and what the decision module is told of it."""
+"""Discovery's list as it is sent on the wire, and its translation for the decision module."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 log = logging.getLogger("scaledeal.discovery")
 
 _STATES = {"active": api.ServerState.LIVE, "leaving": api.ServerState.DRAINING, "left": api.ServerState.GONE}
-_ORDER = ("active", "leaving", "left")  # a process never goes back in this row
+_STATUS_ORDER = ("active", "leaving", "left")  # the status of a process never goes back in this order
 _ADDRESS = re.compile(r"\S+:([0-9]{1,5})")
 
-PLAUSIBLE = 60_000.0  # ms of age that a start may have when the first list that tells of it comes on a watch
-AHEAD = 1000.0  # ms by which a start may lie ahead of this machine's clock without a word
-LEAST_WEIGHT, MOST_WEIGHT = 1e-6, 1e9  # past these a ranking by weight divides by nothing, or ranks nobody else
-REMEMBERED = 4096  # servers whose starts are kept, listed or not
+MAX_NEW_START_AGE_MS = 60_000.0  # age that a start may have when a list on a watch first reports it
+MAX_CLOCK_LEAD_MS = 1000.0  # a start may be this far ahead of this machine's clock without a log line
+MIN_WEIGHT = 1e-6  # below it, a ranking by weight divides by zero
+MAX_WEIGHT = 1e9  # above it, a ranking by weight ranks no other server
+MAX_SERVER_RECORDS = 4096  # servers whose starts are kept, whether they are listed or not
 
-START, WEIGHT, TWICE, ADDRESS = (
-    f"discovery list: {what}"
-    for what in ("a start that can't be", "a weight that can't be", "a server named twice", "an address that can't be")
-)
+INVALID_START = "discovery list: an invalid start"
+INVALID_WEIGHT = "discovery list: an invalid weight"
+DUPLICATE_SERVER = "discovery list: a server named twice"
+INVALID_ADDRESS = "discovery list: an invalid address"
 
 
 class Endpoint(msgspec.Struct, frozen=True):
@@ -50,146 +51,169 @@
     endpoints: tuple[Endpoint, ...] = ()
 
 
-class _Loose(msgspec.Struct, frozen=True):
-    """A list of which not every entry may be one."""
+class _UndecodedRoster(msgspec.Struct, frozen=True):
+    """A list whose entries are not decoded yet, as some of them may be malformed."""
 
     endpoints: tuple[msgspec.Raw, ...] = ()
 
 
-def readable(body: bytes) -> Roster:
-    """Return the entries that can be read of a list that is none as a whole: changes, as it may lack servers.
+def decode_readable_entries(body: bytes) -> Roster:
+    """Return the readable entries of a list that can't be decoded as a whole, as changes: it may lack servers.
 
-    Guards against one entry that can't be read and hides from this relay that other servers drain.
+    Otherwise one malformed entry would keep this relay from learning that other servers drain.
     """
-    entries = list[Endpoint]()
+    endpoints = list[Endpoint]()
     with suppress(msgspec.MsgspecError, ValueError, RecursionError):
-        for each in msgspec.json.decode(body, type=_Loose).endpoints:
+        for entry in msgspec.json.decode(body, type=_UndecodedRoster).endpoints:
             with suppress(msgspec.MsgspecError):
-                entries.append(msgspec.json.decode(each, type=Endpoint))
-    return Roster(0, False, tuple(entries))
+                endpoints.append(msgspec.json.decode(entry, type=Endpoint))
+    return Roster(0, False, tuple(endpoints))
 
 
-class Calendar:
-    """Turns discovery's Unix times into the driver's clock.
+class UnixTimeConverter:
+    """Converts discovery's Unix times to the driver's clock.
 
-    Guards against a process that seems to have started anew: the offset is that of ``UnixClock``, so an unchanged
-    ``since_ms`` gives the same moment in every list, whatever befalls the wall clock.
+    The offset is that of ``UnixClock``, so an unchanged ``since_ms`` gives the same moment in every list, even when
+    the wall clock steps. With a varying offset a process would seem to have restarted.
     """
 
     def __init__(self, offset: int) -> None:
         """``offset`` is the ns from Unix time to the driver's clock."""
         self.offset = offset
 
-    def moment(self, since_ms: float) -> int:
-        """Return the moment on the driver's clock, 0 for long ago."""
+    def to_driver_time(self, since_ms: float) -> int:
+        """Return the moment in ns on the driver's clock; 0 stands for long ago."""
         return max(0, int(since_ms * 1_000_000) + self.offset) if since_ms > 0 else 0
 
 
-class _Taken(msgspec.Struct):
-    """What was last taken of one server."""
+class _ServerRecord(msgspec.Struct):
+    """The values that were last accepted for one server."""
 
-    told: float  # its start as a list told it, in Unix ms
-    started: int  # and as it was taken, on the driver's clock
-    why: str = ""  # what was wrong with that start
+    listed_start_ms: float  # its start as a list gave it, in Unix ms
+    started: int  # its start as accepted, on the driver's clock
+    start_fault: str = ""  # what was wrong with the start as listed
     weight: float = 1.0
 
 
 class Catalog:
-    """The servers as this relay has taken them from any list, and what of a list can't be.
+    """The servers as this relay has accepted them from all lists, and the faults of those lists.
 
-    Where a list contradicts itself or what is known, the value stands that sends a server less: the last good
-    weight, the later start (a server that started later is colder), the state further on its way out. It outlives
-    a discovery that another takes over from.
+    Where a list contradicts itself or what is known, the value wins that sends a server less: the last valid weight,
+    the later start (a server that started later is colder), the status that is further on the way out. The catalog is
+    kept when another discovery takes over.
     """
 
-    def __init__(self, zones: tuple[str, ...], calendar: Calendar) -> None:
-        self.numbers = {name: number for number, name in enumerate(zones)}
-        self.calendar = calendar
-        self.taken: dict[str, _Taken] = {}  # the one heard of last stands last
-        self.read_ms: float | None = None  # when the last list was read, in Unix ms; none before the first
-        self.faults = {what: FaultLog(log, what) for what in (START, WEIGHT, TWICE, ADDRESS)}
+    def __init__(self, zones: tuple[str, ...], converter: UnixTimeConverter) -> None:
+        self.zone_numbers = {name: number for number, name in enumerate(zones)}
+        self.converter = converter
+        self.records: dict[str, _ServerRecord] = {}  # ordered by the last list that named them, the latest last
+        self.last_read_ms: float | None = None  # when the last list was read, in Unix ms; None before the first
+        self.faults = {
+            description: FaultLog(log, description)
+            for description in (INVALID_START, INVALID_WEIGHT, DUPLICATE_SERVER, INVALID_ADDRESS)
+        }
 
-    def read(self, roster: Roster, unix: float) -> tuple[tuple[api.ServerEntry, ...], dict[str, str]]:
-        """Translate a list for the decision module, each server once; ``unix`` is the time in seconds since 1970.
+    def read(self, roster: Roster, unix_time: float) -> tuple[tuple[api.ServerEntry, ...], dict[str, str]]:
+        """Translate a list for the decision module, each server once; ``unix_time`` is in seconds since 1970.
 
-        Returns the entries, and the addresses of those that have one.
+        Returns the entries, and the addresses of those that have a valid one.
         """
-        wrong: dict[str, dict[str, str]] = {what: {} for what in self.faults}
-        named = self._once_each(roster, wrong[TWICE])
-        entries = tuple(self._entry(each, unix * 1000, wrong) for each in named.values())
-        self.read_ms = unix * 1000
-        for server in list(self.taken)[: len(self.taken) - max(REMEMBERED, len(named))]:
-            del self.taken[server]
-        for what, faults in self.faults.items():
-            faults.record_faults(wrong[what])
-            faults.record_good(named.keys() - wrong[what].keys())
-        dialled = (each for each in named.values() if each.address and each.name not in wrong[ADDRESS])
-        return entries, {each.name: each.address for each in dialled}
-
-    def _once_each(self, roster: Roster, wrong: dict[str, str]) -> dict[str, Endpoint]:
-        # Guards against a server that is told to drain, and in the same list not to: the last word held.
-        named = {each.name: each for each in roster.endpoints}
-        if len(named) < len(roster.endpoints):
-            several: dict[str, list[Endpoint]] = defaultdict(list)
-            for each in roster.endpoints:
-                several[each.name].append(each)
-            for name, entries in several.items():
-                if len(entries) > 1:
-                    named[name] = _one_of(entries)
-                    wrong[name] = ", ".join(dict.fromkeys(each.status for each in entries))
-        return named
-
-    def _entry(self, each: Endpoint, now_ms: float, wrong: dict[str, dict[str, str]]) -> api.ServerEntry:
-        before = self.taken.pop(each.name, None)
-        taken = self.taken[each.name] = self._started(each, before, now_ms)
-        if taken.why:
-            wrong[START][each.name] = taken.why
-        if LEAST_WEIGHT <= each.weight <= MOST_WEIGHT:
-            taken.weight = each.weight
+        details: dict[str, dict[str, str]] = {description: {} for description in self.faults}
+        by_name = self._deduplicate(roster, details[DUPLICATE_SERVER])
+        entries = tuple(self._translate(endpoint, unix_time * 1000, details) for endpoint in by_name.values())
+        self.last_read_ms = unix_time * 1000
+        for server in list(self.records)[: len(self.records) - max(MAX_SERVER_RECORDS, len(by_name))]:
+            del self.records[server]
+        for description, fault_log in self.faults.items():
+            fault_log.record_faults(details[description])
+            fault_log.record_good(by_name.keys() - details[description].keys())
+        dialable = (
+            endpoint
+            for endpoint in by_name.values()
+            if endpoint.address and endpoint.name not in details[INVALID_ADDRESS]
+        )
+        return entries, {endpoint.name: endpoint.address for endpoint in dialable}
+
+    def _deduplicate(self, roster: Roster, faults: dict[str, str]) -> dict[str, Endpoint]:
+        # A list may say of one server both that it drains and that it doesn't; without the merge the last entry would
+        # win.
+        by_name = {endpoint.name: endpoint for endpoint in roster.endpoints}
+        if len(by_name) < len(roster.endpoints):
+            grouped: dict[str, list[Endpoint]] = defaultdict(list)
+            for endpoint in roster.endpoints:
+                grouped[endpoint.name].append(endpoint)
+            for name, duplicates in grouped.items():
+                if len(duplicates) > 1:
+                    by_name[name] = _merge(duplicates)
+                    faults[name] = ", ".join(dict.fromkeys(endpoint.status for endpoint in duplicates))
+        return by_name
+
+    def _translate(self, endpoint: Endpoint, now_ms: float, details: dict[str, dict[str, str]]) -> api.ServerEntry:
+        previous = self.records.pop(endpoint.name, None)
+        record = self.records[endpoint.name] = self._accept_start(endpoint, previous, now_ms)
+        if record.start_fault:
+            details[INVALID_START][endpoint.name] = record.start_fault
+        if MIN_WEIGHT <= endpoint.weight <= MAX_WEIGHT:
+            record.weight = endpoint.weight
         else:
-            taken.weight = before.weight if before else 1.0
-            wrong[WEIGHT][each.name] = f"{each.weight:g}"
-        if each.address and not _dialled(each.address):
-            wrong[ADDRESS][each.name] = repr(each.address)
+            record.weight = previous.weight if previous else 1.0
+            details[INVALID_WEIGHT][endpoint.name] = f"{endpoint.weight:g}"
+        if endpoint.address and not _is_dialable(endpoint.address):
+            details[INVALID_ADDRESS][endpoint.name] = repr(endpoint.address)
         return api.ServerEntry(
-            server=each.name,
-            state=_STATES[each.status],
-            started=taken.started,
-            zone=each.zone if isinstance(each.zone, int) else self.numbers.get(each.zone, len(self.numbers)),
-            weight=taken.weight,
-            cell=each.group,
+            server=endpoint.name,
+            state=_STATES[endpoint.status],
+            started=record.started,
+            zone=endpoint.zone
+            if isinstance(endpoint.zone, int)
+            else self.zone_numbers.get(endpoint.zone, len(self.zone_numbers)),
+            weight=record.weight,
+            cell=endpoint.group,
         )
 
-    def _started(self, each: Endpoint, before: _Taken | None, now_ms: float) -> _Taken:
-        told = each.since_ms
-        if before is not None and told == before.told:
-            return _Taken(told, before.started, before.why)
-        if told < 0:
-            # Guards against a cold server taken for a warm one: of a start that tells nothing, the last one stays.
-            started = before.started if before else self.calendar.moment(now_ms)
-            return _Taken(told, started, f"since_ms {told:.0f}")
-        moment = self.calendar.moment(min(told, now_ms))
-        if before is not None and moment < before.started:
-            # Guards against a start that goes back and makes a cold server warm. 0 is how a list tells a start that is
+    def _accept_start(self, endpoint: Endpoint, previous: _ServerRecord | None, now_ms: float) -> _ServerRecord:
+        listed_ms = endpoint.since_ms
+        if previous is not None and listed_ms == previous.listed_start_ms:
+            return _ServerRecord(listed_ms, previous.started, previous.start_fault)
+        if listed_ms < 0:
+            # A negative start says nothing, so the previous one is kept: a cold server must not be taken for warm.
+            started = previous.started if previous else self.converter.to_driver_time(now_ms)
+            return _ServerRecord(listed_ms, started, f"since_ms {listed_ms:.0f}")
+        moment = self.converter.to_driver_time(min(listed_ms, now_ms))
+        if previous is not None and moment < previous.started:
+            # A start that goes back would turn a cold server warm. 0 is no fault: a list gives it for a start that is
             # long ago by now.
-            return _Taken(told, before.started, f"since_ms back from {before.told:.0f} to {told:.0f}" if told else "")
-        if self.read_ms is not None and 0 < told < self.read_ms - PLAUSIBLE:
-            # Guards against a clock of this machine that is ahead: the list before did not tell of this start, so it
-            # came later, and a cold server taken for a warm one would get too much.
-            why = f"{(now_ms - told) / 1000:.1f} s old, and not told before"
-            return _Taken(told, self.calendar.moment(self.read_ms), why)
-        return _Taken(told, moment, f"{(told - now_ms) / 1000:.1f} s ahead" if told > now_ms + AHEAD else "")
+            return _ServerRecord(
+                listed_ms,
+                previous.started,
+                f"since_ms back from {previous.listed_start_ms:.0f} to {listed_ms:.0f}" if listed_ms else "",
+            )
+        if self.last_read_ms is not None and 0 < listed_ms < self.last_read_ms - MAX_NEW_START_AGE_MS:
+            # The previous list did not have this start, so it came after that list, and this machine's clock must be
+            # ahead. Taken as it is, it would make a cold server count as warm and get too much.
+            fault = f"{(now_ms - listed_ms) / 1000:.1f} s old, and not listed before"
+            return _ServerRecord(listed_ms, self.converter.to_driver_time(self.last_read_ms), fault)
+        return _ServerRecord(
+            listed_ms,
+            moment,
+            f"{(listed_ms - now_ms) / 1000:.1f} s ahead" if listed_ms > now_ms + MAX_CLOCK_LEAD_MS else "",
+        )
 
 
-def _dialled(address: str) -> bool:
-    found = _ADDRESS.fullmatch(address)
-    return found is not None and int(found[1]) < 65536
+def _is_dialable(address: str) -> bool:
+    match = _ADDRESS.fullmatch(address)
+    return match is not None and int(match[1]) < 65536
 
 
-def _one_of(entries: list[Endpoint]) -> Endpoint:
-    """Return one server's last entry, with the latest start, and no less on its way out than that process is."""
-    last = entries[-1]
-    same = [each.status for each in entries if each.since_ms >= last.since_ms]
+def _merge(duplicates: list[Endpoint]) -> Endpoint:
+    """Return a server's last entry with the latest start, and the furthest status of the process that it names.
+
+    Statuses of entries with an earlier start than the last entry's belong to an earlier process and do not count.
+    """
+    last = duplicates[-1]
+    statuses = [endpoint.status for endpoint in duplicates if endpoint.since_ms >= last.since_ms]
     return msgspec.structs.replace(
-        last, status=max(same, key=_ORDER.index), since_ms=max(each.since_ms for each in entries)
+        last,
+        status=max(statuses, key=_STATUS_ORDER.index),
+        since_ms=max(endpoint.since_ms for endpoint in duplicates),
     )
--- a/scaledeal/net/watch_times.py
+++ b/scaledeal/net/watch_times.py
@@ -1,124 +1,130 @@
-"""When a call of discovery waits, is missed, and is made again: the times of a discovery watch, and no I/O.
+"""The timing of a discovery watch, without I/O: how long a call waits, when it times out and when it is retried.
 
-A change counts as told ``SILENT_TOLD`` after discovery had it and could be reached, whatever became of the calls in
-between; what a silent watch misses counts as told no later than ``WAIT_TOLD`` after the end of its wait. From then on
-the rule of draining servers runs. So every span between two calls is bounded here, and nowhere else.
+A change is presumed known to a relay ``PRESUMED_KNOWN_S`` after discovery had it and could be reached, whatever became
+of the calls in between; a change that a timed-out watch missed is presumed known at the latest
+``PRESUMED_KNOWN_AFTER_WAIT_S`` after the end of its wait. From then on the rule on draining servers applies, so every
+span between two calls is bounded here and only here.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-SILENT_TOLD = 6.0  # seconds after which what a relay has not heard counts as told, while discovery can be reached
-WAIT_TOLD = 2.0  # seconds after the end of its wait by which that is so for a watch that fell silent
-LATE = 0.5  # seconds after the end of its wait by which a sound watch has answered; the rest is for the next call
-UNANSWERED = SILENT_TOLD - WAIT_TOLD  # seconds after which a call that doesn't wait counts as silent
-BODY = 1.0  # seconds that an answer which has begun may take to its end, and that one call is reckoned at
-LEAST = 0.25  # seconds that a watch waits at least: one that did not wait at all would be a new watch
-BUSY = 1.0  # seconds within which a call that discovery had no time for is made again
-APART = 0.15  # share by which the time-outs of relays differ
-PAUSE = 4.0  # seconds at most between the starts of two calls of a discovery that can't be reached
-SOONEST = 0.1  # seconds that pass at least after a failed call
-AGENT_WAITS = 1.0, 2.0  # seconds that an agent on this machine is asked to wait: it answers at no cost
-AGENT_ROUND = 0.8  # share of the drain window in which an agent that fails or is silent is asked once more
-AGENT_LEAST = 0.1  # seconds of such a round at least, where the settings leave no window
-AGENT_PAUSE = 0.25  # share of that round that passes between two calls
-AGENT_SHORT = 0.1  # the same after a call that was given a whole round
-AGENT_SLOW = 5  # every so many such calls, one is given the whole round: the agent may be slow, not silent
-LONGEST = 60.0  # seconds that a call may wait at most, by the protocol
-GOLDEN = 0.6180339887498949  # turns by so much fall evenly, however many there are
+PRESUMED_KNOWN_S = 6.0  # a change is presumed known this long after discovery had it, while it can be reached
+PRESUMED_KNOWN_AFTER_WAIT_S = 2.0  # the same for a watch that timed out, from the end of its wait
+ANSWER_GRACE_S = 0.5  # a working watch has answered this long after the end of its wait; the rest is for the next call
+LIST_CALL_TIMEOUT_S = PRESUMED_KNOWN_S - PRESUMED_KNOWN_AFTER_WAIT_S  # of a call that does not wait
+BODY_TIMEOUT_S = 1.0  # from the start of an answer to its end; also the time allowed for one call
+MIN_WAIT_S = 0.25  # a watch that did not wait at all would count as a new watch
+BUSY_RETRY_S = 1.0  # a call that discovery refused because it is busy is retried within this time
+TIMEOUT_SPREAD = 0.15  # share by which the time-outs of relays differ
+MAX_RETRY_INTERVAL_S = 4.0  # between the starts of two calls to a discovery that can't be reached
+MIN_RETRY_PAUSE_S = 0.1  # after a failed call
+AGENT_WAIT_RANGE_S = 1.0, 2.0  # an agent on this machine answers at no cost, so its waits can be short
+AGENT_ROUND_SHARE = 0.8  # share of the drain window within which a failing or silent agent is called once more
+MIN_AGENT_ROUND_S = 0.1  # where the settings leave no window
+AGENT_PAUSE_SHARE = 0.25  # share of that round that passes between two calls
+AGENT_SHORT_PAUSE_SHARE = 0.1  # the same after a call that was given a whole round
+AGENT_LONG_CALL_EVERY = 5  # one call in so many is given the whole round: the agent may be slow rather than silent
+MAX_WAIT_S = 60.0  # limit of the protocol
+GOLDEN_RATIO = 0.6180339887498949  # multiples of it, modulo 1, are spread evenly however many there are
 
 
 class WatchTimes(msgspec.Struct):
     """The times of one relay's calls, in seconds.
 
-    Where discovery is asked it is one service for all relays, which takes calls in turn, and a new watch costs it
-    as a call for the list does. All watches may fall silent in one moment, so each relay has a place of its own
-    on the clock that all machines read, at which its waits end, once a ``_round``: whenever that moment comes, the
-    calls that make good for it are spread evenly. To go on with a watch costs nothing, however often.
+    Without an agent, discovery is one service for all relays: it takes calls in turn, and a new watch costs it as
+    much as a call for the list. All watches may time out in one moment. So each relay has a phase of its own on the
+    clock that all machines read, at which its waits end once per ``_wait_period``; whenever that moment comes, the
+    calls that replace the lost watches are spread evenly. Continuing a watch costs nothing, however often.
 
-    A round is as long as leaves time to hear, in one call more, of what a watch that fell silent just then missed,
-    within ``SILENT_TOLD`` and the drain's grace. A discovery that has refused calls for want of time can't hear a
-    whole fleet so fast: there a round is as long as the settings have it bear a call of each relay (``ask_within``),
-    less what the rules leave for a call after the end of a wait.
+    A period is short enough that one more call can fetch what a watch that timed out just then missed, within
+    ``PRESUMED_KNOWN_S`` and the drain's grace. A discovery that has refused calls because it is busy can't answer a
+    whole fleet so fast: the period is then the span in which the settings say that it can take a call of each relay
+    (``ask_within``), less what the rules leave for a call after the end of a wait.
     """
 
-    pushed: bool  # an agent on this relay's own machine is asked
-    ask_within: float  # span in which the settings have each relay ask once
-    grace: float  # span in which sends to a draining server have to stop
-    place: float  # 0 to 1: this relay's place among the others
-    turns: int = 0  # how often this relay's spread was drawn
-    missed: int = 0  # calls that failed since the last answer
-    crowded: bool = False  # discovery has refused calls for want of time
+    pushed: bool  # calls go to an agent on this relay's own machine
+    ask_within: float  # span in which, by the settings, each relay calls once
+    drain_grace: float  # span in which sends to a draining server have to stop
+    phase: float  # 0 to 1: the position of this relay among the others
+    spread_draws: int = 0  # how often this relay's spread was drawn
+    failures: int = 0  # calls that failed since the last answer
+    discovery_busy: bool = False  # discovery has refused calls because it is busy
 
-    def wait(self, now: float) -> float:
+    def wait_time(self, now: float) -> float:
         """Return how long the next call of a watch waits for news; ``now`` in seconds on the clock of all machines."""
         if self.pushed:
-            least, most = AGENT_WAITS
-            return least + (most - least) * self._spread()
-        period = self._round()
-        ahead = (self.place - now / period) % 1 * period
-        return ahead if ahead >= LEAST else ahead + period
-
-    def patience(self, wait: float) -> float:
-        """Return how long after its start a call that waits so long is taken for silent."""
+            shortest, longest = AGENT_WAIT_RANGE_S
+            return shortest + (longest - shortest) * self._next_spread()
+        period = self._wait_period()
+        until_phase = (self.phase - now / period) % 1 * period
+        return until_phase if until_phase >= MIN_WAIT_S else until_phase + period
+
+    def timeout(self, wait: float) -> float:
+        """Return how long after its start a call with this wait times out."""
         if wait:
-            return wait + LATE
+            return wait + ANSWER_GRACE_S
         if self.pushed:
-            slow = self.missed % AGENT_SLOW == AGENT_SLOW - 1
-            return self._agent_round() * (1 if slow else 1 - AGENT_PAUSE)
-        # Guards against a fleet that started in one moment at a silent discovery, and asks it in step ever after.
-        return UNANSWERED * (1 - APART * self._spread())
+            long_call = self.failures % AGENT_LONG_CALL_EVERY == AGENT_LONG_CALL_EVERY - 1
+            return self._agent_round() * (1 if long_call else 1 - AGENT_PAUSE_SHARE)
+        # A fleet that started in one moment at a silent discovery would otherwise keep calling it in step.
+        return LIST_CALL_TIMEOUT_S * (1 - TIMEOUT_SPREAD * self._next_spread())
 
-    def pause(self, took: float, broke: bool = True) -> float:
-        """Return how long after a failed call, which took so long, the next one begins, and count the failure.
+    def retry_pause(self, elapsed: float, connection_failed: bool = True) -> float:
+        """Return the pause between a failed call, which took ``elapsed``, and the next one; count the failure.
 
-        The first pauses of a fleet are spread over ``PAUSE``: what ``broke`` may have broken for all; a bad answer is
-        this relay's alone. Later ones are half to the whole of it from start to start, so a discovery that is back
-        is asked by some relay in every moment.
+        The first pauses of a fleet are spread over ``MAX_RETRY_INTERVAL_S`` where the connection failed, as it may
+        have failed for all relays; a bad answer concerns this relay alone. Later intervals, from start to start, are
+        half to the whole of it, so that a discovery that is back is called by some relay at any moment.
         """
-        self.missed += 1
+        self.failures += 1
         if self.pushed:
             return self._agent_pause()
-        share = self._spread()
-        wanted = (PAUSE if broke or self.missed > 1 else BUSY) * (1 + share) / 2
-        if broke and self.missed == 1:
-            wanted = PAUSE * share
-        return max(SOONEST, wanted - min(max(0.0, took), PAUSE))
+        spread = self._next_spread()
+        interval = (MAX_RETRY_INTERVAL_S if connection_failed or self.failures > 1 else BUSY_RETRY_S) * (1 + spread) / 2
+        if connection_failed and self.failures == 1:
+            interval = MAX_RETRY_INTERVAL_S * spread
+        return max(MIN_RETRY_PAUSE_S, interval - min(max(0.0, elapsed), MAX_RETRY_INTERVAL_S))
 
-    def refused(self) -> float:
-        """Return how long after discovery said it has no time it is asked again, and count the failure.
+    def busy_pause(self) -> float:
+        """Return the pause after a call that discovery refused because it is busy; count the failure.
 
-        It is there and counts as reached: no back-off, or a relay that was refused some times hears last of all.
+        Discovery counts as reached, so there is no back-off: it would make a relay that was refused several times the
+        last one to learn of a change.
         """
-        self.missed += 1
+        self.failures += 1
         if self.pushed:
             return self._agent_pause()
-        self.crowded = True
-        return BUSY * (1 + self._spread()) / 2
+        self.discovery_busy = True
+        return BUSY_RETRY_S * (1 + self._next_spread()) / 2
 
-    def silent(self) -> None:
-        """Hear that a call fell silent: the next one is made at once, as this one took its time."""
-        self.missed += 1
+    def record_timeout(self) -> None:
+        """Count a call that timed out; the next one starts at once, as this one has already taken its time."""
+        self.failures += 1
 
-    def answered(self) -> None:
-        """Hear that a call was answered."""
-        self.missed = 0
+    def record_answer(self) -> None:
+        """Reset the count of failures after an answer."""
+        self.failures = 0
 
-    def _round(self) -> float:
-        period = SILENT_TOLD + self.grace - LATE - BODY
-        if self.crowded:
-            period = max(period, self.ask_within - (WAIT_TOLD - LATE))
-        return min(LONGEST, max(period, 2 * LEAST)) - LEAST
+    def _wait_period(self) -> float:
+        period = PRESUMED_KNOWN_S + self.drain_grace - ANSWER_GRACE_S - BODY_TIMEOUT_S
+        if self.discovery_busy:
+            period = max(period, self.ask_within - (PRESUMED_KNOWN_AFTER_WAIT_S - ANSWER_GRACE_S))
+        return min(MAX_WAIT_S, max(period, 2 * MIN_WAIT_S)) - MIN_WAIT_S
 
     def _agent_round(self) -> float:
-        # Guards against an agent asked without a pause, and given up at once, where no window is stated.
-        return max(AGENT_LEAST, AGENT_ROUND * min(BODY, self.grace))
+        # Without the minimum, settings that state no window would have the agent called without a pause, and each
+        # call time out at once.
+        return max(MIN_AGENT_ROUND_S, AGENT_ROUND_SHARE * min(BODY_TIMEOUT_S, self.drain_grace))
 
     def _agent_pause(self) -> float:
-        # Guards against a slow call and its pause that outlast the window: an agent that is back counts from then.
-        return self._agent_round() * (AGENT_SHORT if self.missed % AGENT_SLOW == 0 else AGENT_PAUSE)
-
-    def _spread(self) -> float:
-        self.turns += 1
-        return (self.place + self.turns * GOLDEN) % 1
+        # The pause after a long call is shorter, so that both together fit in the window: an agent's news is presumed
+        # known from the moment at which the agent is back.
+        return self._agent_round() * (
+            AGENT_SHORT_PAUSE_SHARE if self.failures % AGENT_LONG_CALL_EVERY == 0 else AGENT_PAUSE_SHARE
+        )
+
+    def _next_spread(self) -> float:
+        self.spread_draws += 1
+        return (self.phase + self.spread_draws * GOLDEN_RATIO) % 1
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,7 +18,7 @@
 from scaledeal.net.fault_log import GOOD_VALUES_TO_RECOVER, MAX_FAULTY_SERVERS, MAX_NAMED_SERVERS
 from scaledeal.net.load_lines import MAX_VALUE
 from scaledeal.net.load_reports import LoadReports
-from scaledeal.net.roster import REMEMBERED, Calendar, Catalog, Endpoint, Roster
+from scaledeal.net.roster import MAX_SERVER_RECORDS, Catalog, Endpoint, Roster, UnixTimeConverter
 
 NOW = 5_000.0  # seconds since 1970; the driver's clock is 4,000 s behind
 BACK, COLD = 4_990_000.0, 4_999_000.0  # two starts, in Unix ms
@@ -29,7 +29,7 @@
     """A catalog, and the lists that it is given a second after one another."""
 
     def __init__(self) -> None:
-        self.catalog, self.now = Catalog((), Calendar((1000 - 5000) * 1000 * MS)), NOW - 1
+        self.catalog, self.now = Catalog((), UnixTimeConverter((1000 - 5000) * 1000 * MS)), NOW - 1
 
     def read(self, *entries: dict[str, Any]) -> dict[str, api.ServerEntry]:
         self.now += 1
@@ -109,7 +109,7 @@
     assert [(each["s"].weight, each["new"].weight) for each in weights] == [(3.5, 1.0)] * 3
     known.read({"weight": 2.0}, {"name": "new", "weight": 1.0})
     lines = [each.getMessage() for each in caplog.records]
-    what = "discovery list: a weight that can't be"
+    what = "discovery list: an invalid weight"
     bad_at = [f"{what}, not taken: {name} ({bad:g})" for name in ("new", "s")]
     assert lines == [*bad_at, f"{what}: no more, after 5"]
 
@@ -119,7 +119,7 @@
     # Guards against an attempt that ends in an exception, and a client that is answered at its deadline.
     known = Lists()
     known.read({"address": bad}, {"name": "a", "address": ""})
-    assert known.addresses == {} and caplog.text.count("an address that can't be, not taken: s") == 1
+    assert known.addresses == {} and caplog.text.count("an invalid address, not taken: s") == 1
 
 
 def test_faults_are_logged_once_for_a_row_and_what_is_kept_of_them_is_bounded(caplog):
@@ -127,8 +127,8 @@
     known = Lists()
     for first in range(0, 3 * MAX_FAULTY_SERVERS, MAX_FAULTY_SERVERS):
         known.read(*({"name": f"s{number}", "weight": 0} for number in range(first, first + MAX_FAULTY_SERVERS)))
-    weights = known.catalog.faults["discovery list: a weight that can't be"]
-    assert len(weights.faulty) == MAX_FAULTY_SERVERS and len(known.catalog.taken) == REMEMBERED
+    weights = known.catalog.faults["discovery list: an invalid weight"]
+    assert len(weights.faulty) == MAX_FAULTY_SERVERS and len(known.catalog.records) == MAX_SERVER_RECORDS
     lines = [each.getMessage() for each in caplog.records]
     assert len(lines) == 3 and all(f"and {MAX_FAULTY_SERVERS - MAX_NAMED_SERVERS} more" in line for line in lines)
 
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -9,8 +9,8 @@
 import pytest
 from discovery_wire import NEW, OLD, THIRD, OneRelay
 
-from scaledeal.net.discovery_watch import HEADER, TOO_LONG
-from scaledeal.net.watch_times import SILENT_TOLD
+from scaledeal.net.discovery_watch import HEADER_TOO_LONG, MAX_HEADER_BYTES
+from scaledeal.net.watch_times import PRESUMED_KNOWN_S
 
 GRACE = 1.0  # seconds that a drain leaves, as the relay's settings say
 WINDOW = GRACE + 0.05  # the rule on sockets
@@ -121,7 +121,7 @@
         latest = max(latest, one.net.seconds() - back)
         assert one.sent_to(1) == "10.1.0.1:9"
     # An agent's news counts at once: 0.1 s of the grace is left for its answer.
-    most = GRACE - 0.1 if pushed else SILENT_TOLD + WINDOW
+    most = GRACE - 0.1 if pushed else PRESUMED_KNOWN_S + WINDOW
     assert latest <= most, f"heard {latest:.2f} s after it was back"
 
 
@@ -220,7 +220,7 @@
     one = OneRelay(monkeypatch, tmp_path, False)
     one.run(2)
     one.old.index, one.old.states = 9, {f"s{number}-{'x' * 400}": "active" for number in range(1024)}
-    assert len(one.old.listing()) > 2 * HEADER
+    assert len(one.old.listing()) > 2 * MAX_HEADER_BYTES
     one.old.calls[-1].say(one.old.listing(), 65_536)
     assert len(one.relay.driver.balancer.servers) == 1024 and one.relay.discovery.index == 9
 
@@ -282,22 +282,22 @@
         wire, sent = one.old.calls[-1].wire, 0
         first, more = ENDLESS[kind]
         wire.receive(first)
-        while not (wire.lost or wire.aborted) and sent < 2 * HEADER:
+        while not (wire.lost or wire.aborted) and sent < 2 * MAX_HEADER_BYTES:
             wire.receive(more)
             sent += len(more)
             one.net.advance(0)
-        assert sent <= HEADER + 2000, f"{sent} bytes of a header were read"
+        assert sent <= MAX_HEADER_BYTES + 2000, f"{sent} bytes of a header were read"
         one.run(0.1)
         assert wire.lost
         one.old.mode = "held"
         calls = len(one.old.calls)
         while len(one.old.calls) == calls and one.net.seconds() < 1020:
             one.run(0.1)
-    assert one.relay.discovery.times.missed == 2
+    assert one.relay.discovery.times.failures == 2
     lines = [each.message for each in caplog.records if each.name == "scaledeal.discovery"][len(told) :]
     assert len(lines) == 1, lines
     if kind != "one line":
-        assert TOO_LONG in lines[0] and one.relay.driver.balancer.watch_failures == 0, "discovery is there"
+        assert HEADER_TOO_LONG in lines[0] and one.relay.driver.balancer.watch_failures == 0, "discovery is there"
     one.old.now_has(s0="leaving")
     one.old.calls[-1].say(one.old.listing())
     assert one.state("s0") == "draining"
@@ -325,7 +325,7 @@
     one.old.calls[-1].say(body)
     one.old.index, one.old.states = 9, {"s0": "leaving"}
     one.run(1.2)
-    assert "answer not understood" in caplog.text and "could not be told" not in caplog.text
+    assert "answer not understood" in caplog.text and "could not be processed" not in caplog.text
     assert one.state("s0") == "draining" and one.relay.discovery.index == 9
 
 
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -15,11 +15,17 @@
 
 from scaledeal import interface as api
 from scaledeal.net import discovery_watch
-from scaledeal.net.discovery_watch import CONNECT, LIST
+from scaledeal.net.discovery_watch import CONNECT_TIMEOUT_S, MAX_LIST_BYTES
 from scaledeal.net.driver import Driver
 from scaledeal.net.figures import Figures
-from scaledeal.net.roster import Calendar, Catalog
-from scaledeal.net.watch_times import BODY, GOLDEN, SILENT_TOLD, WAIT_TOLD, WatchTimes
+from scaledeal.net.roster import Catalog, UnixTimeConverter
+from scaledeal.net.watch_times import (
+    BODY_TIMEOUT_S,
+    GOLDEN_RATIO,
+    PRESUMED_KNOWN_AFTER_WAIT_S,
+    PRESUMED_KNOWN_S,
+    WatchTimes,
+)
 
 RELAYS, ASK_WITHIN, GRACE = 230, 10.0, 1.0
 WINDOW = GRACE + 0.05  # the rule on sockets, in seconds
@@ -44,7 +50,7 @@
         if self.down:
             if self.down != "silent":
                 why = ConnectionRefusedError("refused") if self.down == "refused" else TimeoutError("lost")
-                self.clock.callLater(0.001 if self.down == "refused" else CONNECT, call.errback, why)
+                self.clock.callLater(0.001 if self.down == "refused" else CONNECT_TIMEOUT_S, call.errback, why)
             return call
         if self.cost and self.clock.seconds() - self.heard.get(who, -9.0) > 0.2:
             start = max(self.clock.seconds(), self.free)
@@ -91,7 +97,7 @@
         """Have all open watches fall silent, and a server begin to drain."""
         now = self.clock.seconds()
         for who, (_, start, waits) in self.open.items():
-            self.told[who] = max(now + SILENT_TOLD, start + waits + WAIT_TOLD)
+            self.told[who] = max(now + PRESUMED_KNOWN_S, start + waits + PRESUMED_KNOWN_AFTER_WAIT_S)
         self.open.clear()
         self.drain()
 
@@ -143,17 +149,17 @@
             self.clock.callLater(me * step, driver.listed, api.Membership(api.MembershipKind.INITIAL), {})
         return made
 
-    def watch(self, me: int, pushed: bool, tell: discovery_watch.Tell) -> discovery_watch.DiscoveryWatch:
+    def watch(self, me: int, pushed: bool, tell: discovery_watch.MembershipCallback) -> discovery_watch.DiscoveryWatch:
         made = discovery_watch.DiscoveryWatch(
             self.clock,
             "h",
             1,
-            Catalog((), Calendar(0)),
+            Catalog((), UnixTimeConverter(0)),
             tell,  # type: ignore[arg-type]
-            WatchTimes(pushed, ASK_WITHIN, GRACE, me * GOLDEN % 1),
+            WatchTimes(pushed, ASK_WITHIN, GRACE, me * GOLDEN_RATIO % 1),
             self.clock.seconds,
         )
-        made.agent = SimpleNamespace(
+        made.http_agent = SimpleNamespace(
             request=lambda _, url: self.discovery.request(me, url.decode().partition("members")[2])
         )
         return made
@@ -164,7 +170,7 @@
         self.discovery = Discovery(self.clock, old.cost * len(self.watches), old.queue, len(self.watches))
         for me, watch in enumerate(self.watches):
             watch.close()
-            self.watches[me] = self.watch(me, pushed, watch.tell)
+            self.watches[me] = self.watch(me, pushed, watch.report)
             self.watches[me].watch()
 
     def run(self, seconds: float, step: float = 0.05) -> None:
@@ -181,7 +187,7 @@
     fleet.run(1)
     before = fleet.discovery.turns
     fleet.discovery.silence()
-    fleet.run(ASK_WITHIN + SILENT_TOLD + 2)
+    fleet.run(ASK_WITHIN + PRESUMED_KNOWN_S + 2)
     assert len(fleet.late) == RELAYS
     worst = max(fleet.late[who] - told for who, told in fleet.discovery.told.items())
     assert worst <= WINDOW, f"a relay heard {worst:.2f} s after the news counted as told"
@@ -212,7 +218,7 @@
     fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
     fleet.discovery.silence()
     had = fleet.clock.seconds()
-    assert worst_after(fleet, had) <= SILENT_TOLD + WINDOW
+    assert worst_after(fleet, had) <= PRESUMED_KNOWN_S + WINDOW
 
 
 @pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
@@ -221,7 +227,7 @@
     fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
     fleet.discovery.drain()
     fleet.discovery.reset()
-    assert worst_after(fleet, fleet.clock.seconds()) <= SILENT_TOLD + WINDOW
+    assert worst_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + WINDOW
 
 
 @pytest.mark.parametrize("how", ["silent", "refused", "lost"])
@@ -244,7 +250,7 @@
     fleet.run(away)
     fleet.discovery.down, fleet.discovery.free = "", fleet.clock.seconds()
     fleet.discovery.drain()
-    assert worst_after(fleet, fleet.clock.seconds()) <= SILENT_TOLD + WINDOW
+    assert worst_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + WINDOW
 
 
 @pytest.mark.parametrize("moment", ["13 s in", "in the last moment of a wait", "as a wait begins"])
@@ -275,7 +281,7 @@
     # gets at its return counts at once.
     reached = had if then == "answers" else fleet.clock.seconds()
     at_once = pushed and then != "answers"
-    assert worst_after(fleet, reached) <= (0.0 if at_once else SILENT_TOLD) + WINDOW
+    assert worst_after(fleet, reached) <= (0.0 if at_once else PRESUMED_KNOWN_S) + WINDOW
 
 
 @pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
@@ -285,7 +291,7 @@
     fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
     fleet.reload(False)
     fleet.discovery.drain()
-    assert worst_after(fleet, fleet.clock.seconds()) <= SILENT_TOLD + WINDOW
+    assert worst_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + WINDOW
 
 
 def test_who_was_refused_for_want_of_time_asks_again_within_a_second_however_often(monkeypatch):
@@ -319,8 +325,8 @@
         fleet.discovery.down = ""
         fleet.discovery.silence()
         back = fleet.clock.seconds()
-        fleet.run(SILENT_TOLD)
-        first_told = back if away > SILENT_TOLD else back - away + SILENT_TOLD
+        fleet.run(PRESUMED_KNOWN_S)
+        first_told = back if away > PRESUMED_KNOWN_S else back - away + PRESUMED_KNOWN_S
         assert max(fleet.late.values()) - first_told <= WINDOW, f"away for {away} s"
 
 
@@ -373,29 +379,29 @@
         clock,
         "h",
         1,
-        Catalog((), Calendar(0)),
+        Catalog((), UnixTimeConverter(0)),
         lambda event, _: told.append(event.kind),  # type: ignore[arg-type]
         WatchTimes(False, ASK_WITHIN, GRACE, 0.3),
         clock.seconds,
     )
     calls = iter([Deferred(lambda _: None) for _ in range(9)])
-    made.agent = SimpleNamespace(request=lambda *_: out.append(call := next(calls)) or call)
+    made.http_agent = SimpleNamespace(request=lambda *_: out.append(call := next(calls)) or call)
     made.watch()
     slow = Response(code)
     out[0].callback(slow)
     slow.body.dataReceived(b"{")
-    clock.advance(BODY + 0.01)
+    clock.advance(BODY_TIMEOUT_S + 0.01)
     assert slow.ended and len(out) == 2, "asked again as soon as it is given up"
     long = Response(code)
     out[1].callback(long)
-    for _ in range(LIST // 65_536 + 1):
+    for _ in range(MAX_LIST_BYTES // 65_536 + 1):
         assert not long.ended
         long.body.dataReceived(bytes(65_536))
     assert long.ended and not long.body.parts, "nothing of it is kept"
     while len(out) == 2 and clock.seconds() < 9:
         clock.advance(0.05)
     assert len(out) == 3 and told == [], "discovery is there"
-    assert "longer than any list" in caplog.text
+    assert "exceeds the size limit of a list" in caplog.text
     whole = Response()
     out[2].callback(whole)
     whole.body.dataReceived(b'{"index":3,"endpoints":[]}')
@@ -406,13 +412,13 @@
 def test_settings_without_a_window_or_with_a_long_span_give_calls_that_can_be_answered():
     # Guards against an agent that is asked without a pause, and against waits that discovery does not take.
     agent = WatchTimes(True, 0.0, 0.0, 0.0)
-    assert agent.patience(0.0) > 0.05 and agent.pause(0.0) > 0.02
-    assert max(WatchTimes(False, 600.0, 90.0, place / 9).wait(7.0) for place in range(9)) <= 60.0
+    assert agent.timeout(0.0) > 0.05 and agent.retry_pause(0.0) > 0.02
+    assert max(WatchTimes(False, 600.0, 90.0, place / 9).wait_time(7.0) for place in range(9)) <= 60.0
 
 
 def test_the_reason_of_a_failed_call_is_one_line_however_it_is_wrapped(caplog: pytest.LogCaptureFixture) -> None:
     # Guards against a log line with the traceback of an ordinary broken connection in it.
     inner = Failure(ConnectionDone("closed\ncleanly"))
     for wrapped in (inner, Failure(ConnectError(string=inner)), Failure(ResponseNeverReceived([inner]))):
-        told = discovery_watch._reason(wrapped)
+        told = discovery_watch._failure_reason(wrapped)
         assert "closed cleanly" in told and "Failure" not in told and "\n" not in told
--- a/tests/test_net_parts.py
+++ b/tests/test_net_parts.py
@@ -24,7 +24,7 @@
 from scaledeal.net.delays import Delays
 from scaledeal.net.lines import CLOSE_TIMEOUT_S, MAX_DISCARDED_BYTES, STALL_TIMEOUT_S, LineLink
 from scaledeal.net.load_lines import LoadLines
-from scaledeal.net.roster import Calendar, Catalog, Endpoint, Roster
+from scaledeal.net.roster import Catalog, Endpoint, Roster, UnixTimeConverter
 from scaledeal.net.user_agent import MAX_EARLY_LINES
 from scaledeal.net.watch_times import WatchTimes
 
@@ -100,11 +100,11 @@
 
 def test_an_unchanged_start_is_the_same_moment_in_every_list():
     # A server would seem to have restarted if its start changed with each reading of the clocks.
-    calendar = Calendar((5_000 - 1_000_000) * MS)
+    converter = UnixTimeConverter((5_000 - 1_000_000) * MS)
     listed = Roster(endpoints=(Endpoint("s", since_ms=996_000),))
-    readings = [Catalog(("z",), calendar).read(listed, 1000.0 + i)[0] for i in range(2)]
+    readings = [Catalog(("z",), converter).read(listed, 1000.0 + i)[0] for i in range(2)]
     assert readings[0] == readings[1] and readings[0][0].started == 1_000 * MS
-    assert calendar.moment(0) == 0 and calendar.moment(1) == 0
+    assert converter.to_driver_time(0) == 0 and converter.to_driver_time(1) == 0
 
 
 def test_slow_messages_are_reported_once_a_second_and_once_more_when_over():
@@ -527,12 +527,12 @@
         Clock(),
         "127.0.0.1",
         1,
-        Catalog((), Calendar(0)),
+        Catalog((), UnixTimeConverter(0)),
         lambda event, _: kinds.append(event.kind),
         WatchTimes(False, 10.0, 1.0, 0.5),
         lambda: 0.0,
     )
-    watch.agent = FakeHttpClient()
+    watch.http_agent = FakeHttpClient()
     return watch, kinds
 
 
@@ -542,24 +542,24 @@
     for late in (succeed, fail):
         watch, kinds = discovery_watch_and_events()
         watch.watch()
-        ((url, call),) = watch.agent.out
+        ((url, call),) = watch.http_agent.out
         assert url.endswith("/catalog/members"), "no version is known there yet"
         watch.close()
         reply = SimpleNamespace(code=200, body=b'{"index":9,"snapshot":true,"endpoints":[]}')
         late(reply if late is succeed else ConnectionError("reset")).addCallbacks(call.callback, call.errback)
         watch.watch()
-        assert kinds == [] and len(watch.agent.out) == 1
+        assert kinds == [] and len(watch.http_agent.out) == 1
 
 
 def test_the_version_of_a_list_is_kept_over_a_failed_call(monkeypatch):
     monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
     watch, kinds = discovery_watch_and_events()
     watch.watch()
-    watch.agent.out[0][1].errback(ConnectionError("refused"))
+    watch.http_agent.out[0][1].errback(ConnectionError("refused"))
     watch.reactor.advance(4.1)  # it asks again by itself
     watch.watch()
-    watch.agent.out[1][1].callback(SimpleNamespace(code=200, body=b'{"index":9,"endpoints":[]}'))
-    assert [url.partition("members")[2] for url, _ in watch.agent.out] == ["", "", "?after=9&wait_ms=2625"]
+    watch.http_agent.out[1][1].callback(SimpleNamespace(code=200, body=b'{"index":9,"endpoints":[]}'))
+    assert [url.partition("members")[2] for url, _ in watch.http_agent.out] == ["", "", "?after=9&wait_ms=2625"]
     assert kinds == [api.MembershipKind.LOST, api.MembershipKind.FULL]
 
 
--- a/tests/test_request_guard.py
+++ b/tests/test_request_guard.py
@@ -12,7 +12,7 @@
 from scaledeal.net.clocks import ClockMonitor, UnixClock
 from scaledeal.net.invariants import Invariants, Rule
 from scaledeal.net.request_guard import NEVER_RAN, Obligation, RequestGuard
-from scaledeal.net.roster import Calendar, Catalog, Endpoint, Roster
+from scaledeal.net.roster import Catalog, Endpoint, Roster, UnixTimeConverter
 
 MS, SECOND = 1_000_000, 1_000_000_000
 WINDOW = 500 * MS
@@ -166,9 +166,9 @@
 
 def test_a_start_that_the_list_before_did_not_tell_is_no_older_than_that_list(caplog: pytest.LogCaptureFixture) -> None:
     # Guards against a machine whose clock is an hour ahead: a server that has just started would count as warm.
-    catalog, hour, now = Catalog((), Calendar(0)), 3_600_000.0, 9_000_000.0
+    catalog, hour, now = Catalog((), UnixTimeConverter(0)), 3_600_000.0, 9_000_000.0
     catalog.read(Roster(endpoints=(Endpoint("a"),)), now / 1000)
     entries, _ = catalog.read(Roster(2, False, (Endpoint("b", since_ms=now - hour),)), now / 1000 + 5)
-    assert entries[0].started == int(now * MS) and "not told before" in caplog.text
+    assert entries[0].started == int(now * MS) and "not listed before" in caplog.text
     entries, _ = catalog.read(Roster(3, False, (Endpoint("c", since_ms=now + 4000),)), now / 1000 + 9)
     assert entries[0].started == int((now + 4000) * MS)
