--- a/benchmarks/quic_path.py
+++ b/benchmarks/quic_path.py
@@ -224,7 +224,7 @@
             self.loop, folder, discovery.address, folder / "file.hcl", descriptors=max_flows + 3000
         )
         self.relay = Target("relay", self.process.process, self.process.quic_port)
-        self.loop.until(lambda: self.process.figure("relay_registry_entries") == 1)
+        self.loop.run_until(lambda: self.process.metric("relay_registry_entries") == 1)
         port = self.peers.address.rpartition(":")[2]
         forwarder = subprocess.Popen([sys.executable, "-c", FORWARDER, port], stdout=subprocess.PIPE, text=True)
         assert forwarder.stdout is not None
@@ -254,7 +254,7 @@
                 self.peers.server.recv(65_536)
                 made.append((sock, cid))
             if self.connections_made % 50 == 0:
-                self.loop.turn(0)
+                self.loop.run_once(0)
         return made
 
     def set_up_costs(self, count: int) -> dict[str, float]:
@@ -286,7 +286,7 @@
 
     def _line_set_up_cpu_us(self, count: int) -> float:
         """Return the relay's CPU time (us) per set-up of a line connection; closing them is not counted."""
-        port = int(self.process.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0])
+        port = int(self.process.wait_for_log_line("listens on").partition("127.0.0.1:")[2].partition(",")[0])
         before, ends = self.relay.cpu_seconds(), []
         for number in range(count):
             self.connections_made += 1
@@ -300,7 +300,7 @@
     def set_up_line(self, port: int, number: int) -> tuple[socket.socket, socket.socket]:
         """Set up one line connection; run the loop once in 50 calls, which serves the relay's discovery requests."""
         if number % 50 == 0:
-            self.loop.turn(0)
+            self.loop.run_once(0)
         return self.peers.set_up_line(port, self.connections_made)
 
     def throughput(self, seconds: float, flows: int) -> dict[str, float]:
@@ -362,15 +362,15 @@
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(("127.0.0.4", 0))  # an address without a flow, as the relay would route its datagrams by address
-        before = self.process.figure("relay_quic_flows")
+        before = self.process.metric("relay_quic_flows")
         datagram = _short(b"\x30" + os.urandom(16), 100)
         metric = 'relay_quic_dropped_total{why="id of no flow"}'
-        began, cpu, dropped = time.perf_counter(), self.relay.cpu_seconds(), self.process.figure(metric)
+        began, cpu, dropped = time.perf_counter(), self.relay.cpu_seconds(), self.process.metric(metric)
         while time.perf_counter() - began < seconds:
             for _ in range(64):
                 sock.sendto(datagram, self.relay.address)
-        self.loop.until(lambda: self.process.figure("relay_quic_flows") == before)
-        took, count = time.perf_counter() - began, self.process.figure(metric) - dropped
+        self.loop.run_until(lambda: self.process.metric("relay_quic_flows") == before)
+        took, count = time.perf_counter() - began, self.process.metric(metric) - dropped
         return {"dropped_a_second": count / took, "cpu_us": (self.relay.cpu_seconds() - cpu) / max(1, count) * 1e6}
 
     def close(self) -> None:
--- a/benchmarks/resume.py
+++ b/benchmarks/resume.py
@@ -48,8 +48,8 @@
             discovery.put(server.name, server.address)
         self.relay = RelayProcess(self.loop, folder, discovery.address, folder / "file.hcl", descriptors=4000)
         os.sched_setaffinity(self.relay.process.pid, {sorted(os.sched_getaffinity(0))[-1]})
-        self.port = int(self.relay.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0])
-        self.loop.until(lambda: self.relay.figure("relay_registry_entries") == 2)
+        self.port = int(self.relay.wait_for_log_line("listens on").partition("127.0.0.1:")[2].partition(",")[0])
+        self.loop.run_until(lambda: self.relay.metric("relay_registry_entries") == 2)
 
     def cpu_us(self) -> float:
         """Return the relay's CPU time in microseconds."""
@@ -62,7 +62,7 @@
     def client(self, offers_resume: bool) -> LineClient:
         """Connect a client and wait until it is up; with ``offers_resume`` its session is resumable."""
         client = LineClient(self.loop, self.port, offers_resume=offers_resume)
-        self.loop.until(lambda: client.up_count == 1, f"up, not {client.unnumbered_lines}")
+        self.loop.run_until(lambda: client.up_count == 1, f"up, not {client.unnumbered_lines}")
         return client
 
     def measure_reconnects(self, count: int) -> dict[str, dict[str, float]]:
@@ -78,13 +78,13 @@
                     if bool(connection.session) == (name == "resume"):
                         connection.send(b"MOVE")
                         connection.close()
-            self.loop.until(lambda client=client: client.connection is None or client.connection.closed)
+            self.loop.run_until(lambda client=client: client.connection is None or client.connection.closed)
             started = time.perf_counter_ns()
             if name == "resume":
                 client.resume()
             else:
                 client.connect()
-            self.loop.until(
+            self.loop.run_until(
                 lambda client=client, up_count=up_count: client.up_count > up_count or client.connection.closed  # type: ignore[union-attr]
             )
             if client.up_count == up_count:
@@ -110,13 +110,13 @@
             cpu_before, received = self.cpu_us(), len(numbered.server_lines)
             for each in range(count // 10):
                 numbered.send_line("pan")
-                self.loop.until(lambda wanted=received + each + 1: len(numbered.server_lines) >= wanted)
+                self.loop.run_until(lambda wanted=received + each + 1: len(numbered.server_lines) >= wanted)
             cost["numbered"].append((self.cpu_us() - cpu_before) / (count // 10))
             cpu_before, echoed = self.cpu_us(), len(plain.unnumbered_lines)
             for each in range(count // 10):
                 assert plain.connection is not None
                 plain.connection.send(b"pan")
-                self.loop.until(lambda wanted=echoed + each + 1: len(plain.unnumbered_lines) >= wanted)
+                self.loop.run_until(lambda wanted=echoed + each + 1: len(plain.unnumbered_lines) >= wanted)
             cost["plain"].append((self.cpu_us() - cpu_before) / (count // 10))
         numbered_us, plain_us = statistics.median(cost["numbered"]), statistics.median(cost["plain"])
         return {"numbered_cpu_us": numbered_us, "plain_cpu_us": plain_us, "ratio": numbered_us / plain_us}
--- a/scaledeal/lab/line_peers.py
+++ b/scaledeal/lab/line_peers.py
@@ -33,7 +33,7 @@
     def __init__(self, loop: Loop, sock: socket.socket) -> None:
         self.loop, self.sock, self.partial_line = loop, sock, b""
         sock.setblocking(False)
-        loop.read(sock, self._read)
+        loop.add_reader(sock, self._read)
 
     @property
     def is_open(self) -> bool:
@@ -48,7 +48,7 @@
 
     def close(self) -> None:
         if self.is_open:
-            self.loop.forget(self.sock)
+            self.loop.remove(self.sock)
             self.connection_closed()
 
     def _read(self) -> None:
@@ -151,7 +151,7 @@
         self.applied: list[tuple[str, int]] = []  # (session, line number) in the order of application
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        loop.read(self.sock, self._accept)
+        loop.add_reader(self.sock, self._accept)
 
     @property
     def address(self) -> str:
@@ -169,7 +169,7 @@
 
     def stop(self) -> None:
         """Stop listening and close all connections, as a server that died."""
-        self.loop.forget(self.sock)
+        self.loop.remove(self.sock)
         for connection in list(self.connections):
             connection.close()
 
--- a/scaledeal/lab/loop.py
+++ b/scaledeal/lab/loop.py
@@ -1,4 +1,4 @@
-"""One thread that turns sockets and timers until something holds: tests wait on events, never on time."""
+"""A single-threaded event loop that runs until a condition holds, so that tests wait for events and never sleep."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from itertools import count
 from typing import Any
 
-PATIENCE = 10.0  # seconds after which what was waited for counts as never coming
+DEFAULT_TIMEOUT_S = 10.0  # for a condition to hold
 
 
-class NeverHappenedError(AssertionError):
-    """What was waited for did not come."""
+class ConditionTimeoutError(AssertionError):
+    """A condition did not hold within its time-out."""
 
 
 class Loop:
-    """Owns a selector and a heap of timers."""
+    """Dispatches readable sockets and due timers to their callbacks."""
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
@@ -29,39 +29,41 @@
         """Return the monotonic time in seconds."""
         return time.monotonic()
 
-    def read(self, sock: socket.socket, call: Callable[[], None]) -> None:
-        """Call whenever there is something to read."""
-        self.selector.register(sock, selectors.EVENT_READ, call)
+    def add_reader(self, sock: socket.socket, callback: Callable[[], None]) -> None:
+        """Call back whenever the socket is readable."""
+        self.selector.register(sock, selectors.EVENT_READ, callback)
 
-    def forget(self, sock: socket.socket) -> None:
-        """Call no more, and close."""
+    def remove(self, sock: socket.socket) -> None:
+        """Stop calling back for the socket, and close it; without effect on a closed one."""
         if sock.fileno() >= 0:
             self.selector.unregister(sock)
             sock.close()
 
-    def at(self, moment: float, call: Callable[[], None]) -> None:
-        """Call at this moment."""
-        heapq.heappush(self._timers, (moment, next(self._order), call))
+    def call_at(self, moment: float, callback: Callable[[], None]) -> None:
+        """Call back at a moment of ``now()``."""
+        heapq.heappush(self._timers, (moment, next(self._order), callback))
 
-    def turn(self, longest: float = 0.05) -> None:
-        """Do what is due, waiting so many seconds at most for the first of it."""
+    def run_once(self, max_wait: float = 0.05) -> None:
+        """Run the callbacks that are due, after waiting at most ``max_wait`` seconds for the first of them."""
         if self._timers:
-            longest = min(longest, max(0.0, self._timers[0][0] - self.now()))
-        for key, _ in self.selector.select(longest):
+            max_wait = min(max_wait, max(0.0, self._timers[0][0] - self.now()))
+        for key, _ in self.selector.select(max_wait):
             key.data()
         while self._timers and self._timers[0][0] <= self.now():
             heapq.heappop(self._timers)[2]()
 
-    def until(self, holds: Callable[[], Any], what: str = "", patience: float = PATIENCE) -> None:
-        """Turn until it holds; raise NeverHappenedError after so many seconds."""
-        end = self.now() + patience
-        while not holds():
+    def run_until(
+        self, condition: Callable[[], Any], description: str = "", timeout: float = DEFAULT_TIMEOUT_S
+    ) -> None:
+        """Run until the condition holds; raise ConditionTimeoutError after ``timeout`` seconds."""
+        end = self.now() + timeout
+        while not condition():
             if self.now() > end:
-                raise NeverHappenedError(f"never happened: {what or holds}")
-            self.turn()
+                raise ConditionTimeoutError(f"timed out waiting for {description or condition}")
+            self.run_once()
 
     def close(self) -> None:
-        """Close all that is registered."""
+        """Close all registered sockets and the selector."""
         for key in list(self.selector.get_map().values()):
-            self.forget(key.fileobj)  # type: ignore[arg-type]
+            self.remove(key.fileobj)  # type: ignore[arg-type]
         self.selector.close()
--- a/scaledeal/lab/quic/client.py
+++ b/scaledeal/lab/quic/client.py
@@ -38,7 +38,7 @@
         self.host = host
         self.mangle = mangle
         self.sock = udp_socket(host)
-        loop.read(self.sock, self._read)
+        loop.add_reader(self.sock, self._read)
         self.connection = QuicConnection(
             configuration=QuicConfiguration(
                 is_client=True,
@@ -73,7 +73,7 @@
     def request(self) -> str:
         """Send a request, wait for its answer, and return the name of the server that gave it."""
         count = self.send_request()
-        self.loop.until(lambda: len(self.answers) >= count or self.ended, f"answer {count} of {self.dcid.hex()}")
+        self.loop.run_until(lambda: len(self.answers) >= count or self.ended, f"answer {count} of {self.dcid.hex()}")
         assert not self.ended, f"connection ended: reset {self.reset}, {self.termination}"
         name, number = self.answers[count - 1].split()
         assert int(number) == count, f"answer {number} instead of {count}"
@@ -81,13 +81,13 @@
 
     def wait_connected(self) -> Client:
         """Wait for the handshake to complete; fail if the connection ends before. Return the client."""
-        self.loop.until(lambda: self.connected or self.ended, f"{self.dcid.hex()} connected")
+        self.loop.run_until(lambda: self.connected or self.ended, f"{self.dcid.hex()} connected")
         assert self.connected, f"connection ended: {self.termination}"
         return self
 
     def wait_ended(self) -> Client:
         """Wait until the connection is refused, fails, is reset or times out. Return the client."""
-        self.loop.until(lambda: self.ended, f"{self.dcid.hex()} ended")
+        self.loop.run_until(lambda: self.ended, f"{self.dcid.hex()} ended")
         return self
 
     @property
@@ -97,9 +97,9 @@
 
     def change_address(self, host: str | None = None) -> None:
         """Continue from another socket, like a device that changes networks."""
-        self.loop.forget(self.sock)
+        self.loop.remove(self.sock)
         self.sock = udp_socket(host or self.host)
-        self.loop.read(self.sock, self._read)
+        self.loop.add_reader(self.sock, self._read)
 
     def rotate(self) -> None:
         """Switch to another connection id that the server issued."""
@@ -151,7 +151,7 @@
             self.sock.sendto(datagram, self.relay)
         due = self.connection.get_timer()
         if due is not None:
-            self.loop.at(due, lambda: self._on_timer(due))
+            self.loop.call_at(due, lambda: self._on_timer(due))
 
     def _on_timer(self, due: float) -> None:
         if self.connection.get_timer() == due and not self.reset:
--- a/scaledeal/lab/quic/tile_server.py
+++ b/scaledeal/lab/quic/tile_server.py
@@ -102,7 +102,7 @@
         self.record = record
         self.behaviour = Behaviour.HEALTHY
         self.sock = udp_socket(port=port)
-        loop.read(self.sock, self._read)
+        loop.add_reader(self.sock, self._read)
         self.connections: list[RoutedConnection] = []
         self.by_odcid: dict[tuple[Source, bytes], RoutedConnection] = {}
         self.sources: dict[RoutedConnection, list[Source]] = {}  # each connection's client addresses, in order of use
@@ -115,13 +115,13 @@
 
     def rebind(self, port: int = 0) -> None:
         """Continue at another port, with all connections."""
-        self.loop.forget(self.sock)
+        self.loop.remove(self.sock)
         self.sock = udp_socket(port=port)
-        self.loop.read(self.sock, self._read)
+        self.loop.add_reader(self.sock, self._read)
 
     def stop(self) -> None:
         """Stop listening and drop all connections without closing them."""
-        self.loop.forget(self.sock)
+        self.loop.remove(self.sock)
         self.connections, self.by_odcid = [], {}
 
     def rotate(self) -> None:
@@ -199,7 +199,7 @@
     def _arm_timer(self, connection: RoutedConnection) -> None:
         due = connection.get_timer()
         if due is not None and connection in self.connections:
-            self.loop.at(due, lambda: self._on_timer(connection, due))
+            self.loop.call_at(due, lambda: self._on_timer(connection, due))
 
     def _on_timer(self, connection: RoutedConnection, due: float) -> None:
         if connection.get_timer() == due and connection in self.connections and self.behaviour is not Behaviour.HUNG:
--- a/scaledeal/lab/relay.py
+++ b/scaledeal/lab/relay.py
@@ -1,4 +1,4 @@
-"""A relay as a process of its own, with its log read as it comes."""
+"""A relay that runs as a separate process, whose log is read as it is written."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class RelayProcess:
-    """Owns the process, its log and its end."""
+    """Starts a relay, collects its log, calls it as operators do, and ends it."""
 
     def __init__(
         self,
@@ -80,74 +80,77 @@
             "TMPDIR": str(runtime),
         }
         self.log: list[str] = []
-        self._part = b""
-        mine, theirs = socket.socketpair()
-        self._sock = mine
-        with theirs:
+        self._partial_line = b""
+        log_reader, log_writer = socket.socketpair()
+        self._log_sock = log_reader
+        with log_writer:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "scaledeal.cli.main", "run", "--file", str(operator_file)],
                 env=env,
-                stderr=theirs.fileno(),
-                stdout=theirs.fileno(),
+                stderr=log_writer.fileno(),
+                stdout=log_writer.fileno(),
             )
-        loop.read(mine, self._read)
+        loop.add_reader(log_reader, self._read_log)
 
-    def _read(self) -> None:
-        data = self._sock.recv(65_536)
+    def _read_log(self) -> None:
+        data = self._log_sock.recv(65_536)
         if not data:
-            self.loop.forget(self._sock)
+            self.loop.remove(self._log_sock)
             return
-        *lines, self._part = (self._part + data).split(b"\n")
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         self.log += [line.decode("utf-8", "replace") for line in lines]
 
-    def told(self, words: str) -> list[str]:
-        """Return the log's lines that hold these words."""
-        return [line for line in self.log if words in line]
+    def log_lines(self, text: str) -> list[str]:
+        """Return the log lines so far that contain the text."""
+        return [line for line in self.log if text in line]
 
-    def until_told(self, words: str, times: int = 1) -> str:
-        """Wait for a line of the log, and return it."""
+    def wait_for_log_line(self, text: str, times: int = 1) -> str:
+        """Wait until ``times`` log lines contain the text, and return the last of these.
 
-        def there() -> bool:
-            if self.process.poll() is not None and not self._sock_open():
+        Raises AssertionError with the end of the log if the relay ends first or the time-out expires.
+        """
+
+        def logged() -> bool:
+            if self.process.poll() is not None and not self._log_open():
                 raise AssertionError("the relay ended: " + "\n".join(self.log[-20:]))
-            return len(self.told(words)) >= times
+            return len(self.log_lines(text)) >= times
 
-        self.loop.until(there, f"{words!r} in the log:\n" + "\n".join(self.log[-30:]))
-        return self.told(words)[times - 1]
+        self.loop.run_until(logged, f"{text!r} in the log:\n" + "\n".join(self.log[-30:]))
+        return self.log_lines(text)[times - 1]
 
-    def _sock_open(self) -> bool:
-        return self._sock.fileno() >= 0
+    def _log_open(self) -> bool:
+        return self._log_sock.fileno() >= 0
 
     @property
     def quic_port(self) -> int:
-        """Return the UDP port, once it is served."""
-        return int(msgspec.json.decode(self.until_told("quic is served"))["port"])
+        """Wait until QUIC is served, and return its UDP port."""
+        return int(msgspec.json.decode(self.wait_for_log_line("quic is served"))["port"])
 
-    def call(self, word: str) -> str:
-        """Call as operators do, and return the answer."""
-        port = int(self.until_told("operators call").rpartition(":")[2])
+    def call(self, command: str) -> str:
+        """Send an operators' command such as INFO, and return the answer."""
+        port = int(self.wait_for_log_line("operators call").rpartition(":")[2])
         with socket.create_connection(("127.0.0.1", port), timeout=10) as sock:
-            sock.sendall(word.encode() + b"\r\n")
+            sock.sendall(command.encode() + b"\r\n")
             return b"".join(iter(lambda: sock.recv(65_536), b"")).decode()
 
-    def figure(self, name: str) -> int:
-        """Return one figure of INFO; 0 where there is none of that name."""
-        found = [line.rpartition(" ")[2] for line in self.call("INFO").splitlines() if line.startswith(name + " ")]
-        return int(found[0]) if found else 0
+    def metric(self, name: str) -> int:
+        """Return the value of a metric of INFO, given with its labels; 0 if there is none of that name."""
+        values = [line.rpartition(" ")[2] for line in self.call("INFO").splitlines() if line.startswith(name + " ")]
+        return int(values[0]) if values else 0
 
-    def hang_up(self) -> None:
-        """Have it read its settings again."""
+    def reload(self) -> None:
+        """Have the relay read its settings again, by SIGHUP."""
         self.process.send_signal(signal.SIGHUP)
 
     def terminate(self) -> None:
-        """Have it move its clients and end."""
+        """Have the relay move its clients and exit, by SIGTERM."""
         self.process.terminate()
 
     def kill(self) -> None:
-        """End it at once, and wait until it is gone."""
+        """Kill the process and wait for its exit."""
         self.process.kill()
         self.process.wait()
 
     def ended(self) -> bool:
-        """Tell whether it has ended."""
+        """Return whether the process has exited."""
         return self.process.poll() is not None
--- a/tests/quic_world.py
+++ b/tests/quic_world.py
@@ -65,10 +65,10 @@
     def start_relay(self, name: str = "n0", **options: Any) -> RelayProcess:
         relay = RelayProcess(self.loop, self.folder, self.discovery.address, self.settings_path, name, **options)
         self.relays.append(relay)
-        relay.until_told("quic is served")
+        relay.wait_for_log_line("quic is served")
         # Until the relay has received the server list, it refuses new flows.
-        self.loop.until(
-            lambda: relay.figure("relay_registry_entries") >= len(self.discovery.entries), "the server list"
+        self.loop.run_until(
+            lambda: relay.metric("relay_registry_entries") >= len(self.discovery.entries), "the server list"
         )
         return relay
 
@@ -84,7 +84,7 @@
         return client
 
     def run_until(self, condition: Callable[[], Any], description: str = "") -> None:
-        self.loop.until(condition, description)
+        self.loop.run_until(condition, description)
 
     def close(self) -> None:
         for relay in self.relays:
--- a/tests/test_quic_flows.py
+++ b/tests/test_quic_flows.py
@@ -63,8 +63,8 @@
     homes = [client.request() for client in clients]
     relay = world.restart_relay(relay)
     assert [client.request() for client in clients] == homes
-    assert relay.figure("relay_quic_flows") == 6
-    assert relay.figure("relay_open_requests") == 6  # registered with the decision module as open connections
+    assert relay.metric("relay_quic_flows") == 6
+    assert relay.metric("relay_open_requests") == 6  # registered with the decision module as open connections
 
 
 def test_flows_continue_through_another_relay(make_world: Any) -> None:
@@ -79,7 +79,7 @@
     client.connection._network_paths[0].addr = client.relay
     assert client.sock is sock
     assert client.request() == home
-    assert second.figure("relay_quic_flows") == 1
+    assert second.metric("relay_quic_flows") == 1
 
 
 @pytest.mark.parametrize("behaviour", [Behaviour.HUNG, Behaviour.REFUSING, Behaviour.FAILING, Behaviour.ACK_ONLY])
@@ -186,7 +186,7 @@
             break
     stranger.close()
     assert received_bytes <= 3 * copied_bytes  # path probes only, within the limit on amplification
-    assert relay.figure("relay_quic_paths") <= 4
+    assert relay.metric("relay_quic_paths") <= 4
 
 
 def test_a_draining_server_gets_no_new_flows_and_keeps_its_own(make_world: Any) -> None:
@@ -199,7 +199,7 @@
     world.discovery.put(drained, world.server(drained).address, "leaving")
     last_attempt_at_ns = world.record.last_attempt_at_ns[drained]
     later = [world.new_client(relay, host=f"127.0.1.{number}") for number in range(2, 8)]
-    world.run_until(lambda: relay.figure("relay_out_of_rotation") == 1, "the relay learns of the drain")
+    world.run_until(lambda: relay.metric("relay_out_of_rotation") == 1, "the relay learns of the drain")
     later += [world.new_client(relay, host=f"127.0.2.{number}") for number in range(2, 8)]
     for client in later:
         client.wait_connected()
@@ -207,7 +207,7 @@
     assert world.record.last_attempt_at_ns[drained] - last_attempt_at_ns < 1_000_000_000
     # After a second the decision module moves the flows that remain there; QUIC flows stay nevertheless.
     world.run_until(
-        lambda: relay.figure("relay_open_requests") <= len(clients + later) - homes.count(drained), "the module's moves"
+        lambda: relay.metric("relay_open_requests") <= len(clients + later) - homes.count(drained), "the module's moves"
     )
     assert [client.request() for client in clients] == homes
 
@@ -220,7 +220,7 @@
     home = client.request()
     world.server(home).stop()
     world.discovery.put(home, "127.0.0.1:9", "left")
-    world.run_until(lambda: relay.figure("relay_registry_entries") == 1, "the server list without the removed server")
+    world.run_until(lambda: relay.metric("relay_registry_entries") == 1, "the server list without the removed server")
     client.send_request()
     client.wait_ended()
     assert client.reset
@@ -248,7 +248,7 @@
     server = world.server(home)
     server.rebind()
     world.discovery.put(home, server.address)
-    relay.until_told("server moved")
+    relay.wait_for_log_line("server moved")
     assert client.request() == home
 
 
@@ -262,8 +262,8 @@
     home = client.request()
     ring = key_file.read(world.keys_path).rotated(8, 8)
     key_file.write(world.keys_path, ring)
-    relay.hang_up()
-    relay.until_told("settings taken")
+    relay.reload()
+    relay.wait_for_log_line("settings taken")
     for server in world.servers:
         server.ring = ring
     new_client = world.new_client(relay).wait_connected()
@@ -275,14 +275,14 @@
     relay = world.restart_relay(relay)
     assert (client.request(), new_client.request()) == (home, other)
     key_file.write(world.keys_path, ring.retired(0))
-    relay.hang_up()
-    relay.until_told("settings taken")
+    relay.reload()
+    relay.wait_for_log_line("settings taken")
     client.change_address()
     client.send_request()
     new_client.change_address()
     assert new_client.request() == other
     world.run_until(
-        lambda: relay.figure('relay_quic_dropped_total{why="id of no flow"}') > 0,
+        lambda: relay.metric('relay_quic_dropped_total{why="id of no flow"}') > 0,
         "a datagram with a retired id dropped",
     )
 
@@ -294,13 +294,13 @@
     client = world.new_client(relay).wait_connected()
     home = client.request()
     world.settings_path.write_text('quic {\n  listen = "nowhere"\n}\n')
-    relay.hang_up()
-    line = relay.until_told("settings not taken")
+    relay.reload()
+    line = relay.wait_for_log_line("settings not taken")
     assert "quic.keys" in line and "quic.rule" in line
     world.keys_path.chmod(0o644)
     world.write_settings()
-    relay.hang_up()
-    assert "0600" in relay.until_told("settings not taken", 2)
+    relay.reload()
+    assert "0600" in relay.wait_for_log_line("settings not taken", 2)
     assert client.request() == home
 
 
@@ -333,10 +333,10 @@
     for server in world.servers:
         server.behaviour = Behaviour.HUNG
     waiting = world.new_client(old)  # its set-up is still unanswered when the new process takes over
-    world.run_until(lambda: old.figure("relay_open_requests") == 7, "the pending set-up")
+    world.run_until(lambda: old.metric("relay_open_requests") == 7, "the pending set-up")
     world.write_settings(old.quic_port)
     new = world.start_relay()
-    old.until_told("a new version serves quic")
+    old.wait_for_log_line("a new version serves quic")
     for server in world.servers:
         server.behaviour = Behaviour.HEALTHY
     # The old process sends its only answer; the traffic record checks that there is exactly one.
@@ -359,10 +359,10 @@
     home = client.request()
     world.write_settings(old.quic_port)
     new = world.start_relay()
-    old.until_told("a new version serves quic")
+    old.wait_for_log_line("a new version serves quic")
     assert client.request() == home
     new.kill()
-    old.until_told("this process reads quic datagrams again")
+    old.wait_for_log_line("this process reads quic datagrams again")
     assert client.request() == home
 
 
--- a/tests/test_resume_flows.py
+++ b/tests/test_resume_flows.py
@@ -38,12 +38,12 @@
     def start_relay(self, name: str = "n0") -> RelayProcess:
         started = RelayProcess(self.loop, self.folder, self.discovery.address, self.file, name)
         self.relays.append(started)
-        started.until_told("sessions are resumable")
-        self.until(lambda: started.figure("relay_registry_entries") >= len(self.servers), "the list of servers")
+        started.wait_for_log_line("sessions are resumable")
+        self.until(lambda: started.metric("relay_registry_entries") >= len(self.servers), "the list of servers")
         return started
 
     def port(self, relay: RelayProcess) -> int:
-        return int(relay.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0])
+        return int(relay.wait_for_log_line("listens on").partition("127.0.0.1:")[2].partition(",")[0])
 
     def connect_client(self, relay: RelayProcess, **options: Any) -> LineClient:
         client = LineClient(self.loop, self.port(relay), **options)
@@ -51,7 +51,7 @@
         return client
 
     def until(self, condition: Any, description: str = "") -> None:
-        self.loop.until(condition, description)
+        self.loop.run_until(condition, description)
 
     def connected_server(self) -> LineServer:
         """Return the first server that has a connection."""
@@ -193,7 +193,7 @@
     client.resume()
     testbed.until(lambda: old.closed, "the old connection's end")
     testbed.wait_for_echoes(client, 2)
-    assert relay.figure('relay_sessions_total{what="fenced"}') == 1
+    assert relay.metric('relay_sessions_total{what="fenced"}') == 1
     testbed.check_ending(client, "one", "two")
 
 
@@ -205,7 +205,7 @@
     client.send_line("one")
     testbed.wait_for_echoes(client, 1)
     new = testbed.start_relay()
-    port = new.until_told("listens on").partition("127.0.0.1:")[2].partition(",")[0]
+    port = new.wait_for_log_line("listens on").partition("127.0.0.1:")[2].partition(",")[0]
     client.send_line("two")
     old.terminate()
     testbed.until(lambda: client.connection.closed, "the move")  # type: ignore[union-attr]
@@ -282,14 +282,14 @@
     client, other = testbed.connect_client(relay), testbed.connect_client(relay)
     ring = key_file.read(testbed.keys).rotated(8, 8)
     key_file.write(testbed.keys, ring)
-    relay.hang_up()
-    relay.until_told("session keys reloaded")
+    relay.reload()
+    relay.wait_for_log_line("session keys reloaded")
     client.resume()
     client.send_line("one")
     testbed.wait_for_echoes(client, 1)
     key_file.write(testbed.keys, ring.retired(0))
-    relay.hang_up()
-    relay.until_told("session keys reloaded", 2)
+    relay.reload()
+    relay.wait_for_log_line("session keys reloaded", 2)
     assert other.resume().unnumbered_lines == []
     testbed.until(lambda: other.unnumbered_lines[-1] == b"ERR RS key", "the reason")
     client.resume()
@@ -400,7 +400,7 @@
     testbed.ledger.write_bytes(bytes(text))
     testbed.ledger.with_name("ledger-wal").unlink(missing_ok=True)
     again = testbed.start_relay()
-    again.until_told("ledger is corrupt or can't be opened")
+    again.wait_for_log_line("ledger is corrupt or can't be opened")
     client.port = testbed.port(again)
     connection = client.resume()
     testbed.until(lambda: connection.unnumbered_lines, "the refusal")
