--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,9 +1,9 @@
 """How long a relay takes from its start to the first PONG, against the interpreter with Twisted's reactor alone.
 
-Both are whole processes; a stand-in for discovery answers at once. Three ways: alone; several started in one moment on
-one core, as in a rolling restart (the last one's PONG counts, against as many interpreters); and as the successor of a
-relay that serves, to the moment at which it takes clients. Prints the medians in seconds and their ratios; ``--json``
-one JSON object in the last line.
+Both are whole processes, and a stand-in for discovery answers at once. There are three cases: one relay alone; several
+started at the same moment on one core, as in a rolling restart (timed to the last PONG, against as many interpreters);
+and a successor started beside a relay that serves, timed until it takes clients. Prints the medians in seconds and
+their ratios; with ``--json`` also one JSON object in the last line.
 """
 
 from __future__ import annotations
@@ -22,146 +22,147 @@
 from pathlib import Path
 
 ROUNDS = 9
-TOGETHER = 4  # relays that share a core
-ALONE = "from twisted.internet import reactor; import twisted.web.client; print('up', flush=True); input()"
+CONCURRENT = 4  # processes that share a core
+INTERPRETER_CODE = "from twisted.internet import reactor; import twisted.web.client; print('up', flush=True); input()"
 SETTINGS = {"Classes": [{"Name": "c", "Aim": 300_000_000, "Deadline": 2_000_000_000}], "Discovery": "on_request"}
 
 
-def discovery() -> str:
-    """Answer every first call with an empty list; return where."""
+def start_discovery() -> str:
+    """Start a thread that answers the first call of each connection with an empty list; return its address."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def answer() -> None:
-        held = []  # watches that wait
+        open_connections = []  # kept, so that the watches on them wait
         while True:
-            caller = listener.accept()[0]
-            caller.recv(4096)
+            connection = listener.accept()[0]
+            connection.recv(4096)
             body = b'{"index":1,"endpoints":[]}'
-            caller.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
-            held.append(caller)
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+            open_connections.append(connection)
 
     threading.Thread(target=answer, daemon=True).start()
     return f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-def on_core(core: int | None) -> Callable[[], None] | None:
-    """Return what keeps a process of ours on one core."""
+def core_setter(core: int | None) -> Callable[[], None] | None:
+    """Return a ``preexec_fn`` that pins a process to a core; None for no core."""
     return None if core is None else lambda: os.sched_setaffinity(0, {core})
 
 
-def start(
-    folder: str, where: str, core: int | None = None, listen: str = "127.0.0.1:0"
+def start_relay(
+    folder: str, discovery: str, core: int | None = None, listen: str = "127.0.0.1:0"
 ) -> tuple[subprocess.Popen[str], int]:
-    """Start a relay; return it once it listens, and its port."""
+    """Start a relay; once it listens, return its process and its port."""
     env = {
         **os.environ,
         "PROXY_CONFIG": f"{folder}/config.json",
         "PROXY_LISTEN": listen,
-        "PROXY_DISCOVERY": where,
+        "PROXY_DISCOVERY": discovery,
         "TMPDIR": folder,
     }
     process = subprocess.Popen(
-        [sys.executable, "-m", "scaledeal"], env=env, stderr=subprocess.PIPE, text=True, preexec_fn=on_core(core)
+        [sys.executable, "-m", "scaledeal"], env=env, stderr=subprocess.PIPE, text=True, preexec_fn=core_setter(core)
     )
     assert process.stderr is not None
-    line = next(each for each in process.stderr if "listens on" in each)
+    line = next(text for text in process.stderr if "listens on" in text)
     return process, int(line.partition("127.0.0.1:")[2].partition(",")[0])
 
 
-def pong(port: int) -> None:
-    """Ask until a front is told yes."""
-    told = b""
-    while told != b"PONG\r\n":
+def wait_for_pong(port: int) -> None:
+    """Send PING as a front does until the relay answers PONG."""
+    answer = b""
+    while answer != b"PONG\r\n":
         with socket.create_connection(("127.0.0.1", port)) as front:
             front.sendall(b"PING\r\n")
-            told = front.recv(64)
+            answer = front.recv(64)
 
 
-def end(process: subprocess.Popen[str]) -> None:
-    """End a process of ours."""
+def kill(process: subprocess.Popen[str]) -> None:
+    """Kill a process and wait for its exit."""
     process.kill()
     process.communicate()
 
 
-def relay(where: str, core: int | None = None) -> float:
-    """Start a relay; return the seconds to its PONG."""
+def time_relay(discovery: str, core: int | None = None) -> float:
+    """Start a relay; return the seconds until its PONG."""
     with tempfile.TemporaryDirectory() as folder:
-        write(folder)
+        write_config(folder)
         began = time.perf_counter()
-        process, port = start(folder, where, core)
-        pong(port)
+        process, port = start_relay(folder, discovery, core)
+        wait_for_pong(port)
         took = time.perf_counter() - began
-        end(process)
+        kill(process)
         return took
 
 
-def successor(where: str) -> float:
-    """Start a relay beside one that serves; return the seconds until it takes the clients."""
+def time_successor(discovery: str) -> float:
+    """Start a relay beside one that serves; return the seconds until it takes clients."""
     with tempfile.TemporaryDirectory() as folder:
-        write(folder)
+        write_config(folder)
         with socket.create_server(("127.0.0.1", 0)) as free:
             listen = f"127.0.0.1:{free.getsockname()[1]}"
-        old, port = start(folder, where, listen=listen)
-        pong(port)
+        old, port = start_relay(folder, discovery, listen=listen)
+        wait_for_pong(port)
         began = time.perf_counter()
-        new, _ = start(folder, where, listen=listen)
+        new, _ = start_relay(folder, discovery, listen=listen)
         took = time.perf_counter() - began
-        end(new)
-        end(old)
+        kill(new)
+        kill(old)
         return took
 
 
-def alone(core: int | None = None) -> float:
-    """Start the interpreter with Twisted alone; return the seconds until it is up."""
+def time_interpreter(core: int | None = None) -> float:
+    """Start the interpreter with Twisted's reactor alone; return the seconds until it is up."""
     began = time.perf_counter()
     process = subprocess.Popen(
-        [sys.executable, "-c", ALONE],
+        [sys.executable, "-c", INTERPRETER_CODE],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         text=True,
-        preexec_fn=on_core(core),
+        preexec_fn=core_setter(core),
     )
     assert process.stdout is not None
     process.stdout.readline()
     took = time.perf_counter() - began
-    end(process)
+    kill(process)
     return took
 
 
-def together(one: Callable[[], float]) -> float:
-    """Start several in one moment; return the seconds to the last one's."""
-    with ThreadPoolExecutor(TOGETHER) as threads:
-        return max(threads.map(lambda _: one(), range(TOGETHER)))
+def time_concurrently(measure: Callable[[], float]) -> float:
+    """Run a measurement ``CONCURRENT`` times at the same moment; return the longest, in seconds."""
+    with ThreadPoolExecutor(CONCURRENT) as threads:
+        return max(threads.map(lambda _: measure(), range(CONCURRENT)))
 
 
-def write(folder: str) -> None:
+def write_config(folder: str) -> None:
     """Write a relay's configuration."""
     Path(folder, "config.json").write_text(json.dumps({"name": "n", "settings": SETTINGS}))
 
 
 def main() -> None:
-    """Measure each way in turn with its like."""
-    where, core = discovery(), max(os.sched_getaffinity(0))
-    relay(where), alone()  # compiled, and in the system's memory
-    ways: dict[str, tuple[Callable[[], float], Callable[[], float]]] = {
-        "alone": (lambda: relay(where), alone),
-        f"{TOGETHER} on one core": (
-            lambda: together(lambda: relay(where, core)),
-            lambda: together(lambda: alone(core)),
+    """Measure each case in turn with its baseline."""
+    discovery, core = start_discovery(), max(os.sched_getaffinity(0))
+    time_relay(discovery), time_interpreter()  # warm up: byte code and the system's file cache
+    cases: dict[str, tuple[Callable[[], float], Callable[[], float]]] = {
+        "alone": (lambda: time_relay(discovery), time_interpreter),
+        f"{CONCURRENT} on one core": (
+            lambda: time_concurrently(lambda: time_relay(discovery, core)),
+            lambda: time_concurrently(lambda: time_interpreter(core)),
         ),
-        "successor": (lambda: successor(where), alone),
+        "successor": (lambda: time_successor(discovery), time_interpreter),
     }
-    told: dict[str, dict[str, float]] = {}
-    for way, (mine, base) in ways.items():
-        pairs = [(mine(), base()) for _ in range(ROUNDS)]
-        a, b = (statistics.median(each) for each in zip(*pairs, strict=True))
+    results: dict[str, dict[str, float]] = {}
+    for case, (measure, baseline) in cases.items():
+        pairs = [(measure(), baseline()) for _ in range(ROUNDS)]
+        relay_s, alone_s = (statistics.median(times) for times in zip(*pairs, strict=True))
         ratio, worst = statistics.median(x / y for x, y in pairs), max(x for x, _ in pairs)
-        told[way] = {"relay_s": a, "worst_s": worst, "alone_s": b, "ratio": ratio}
+        results[case] = {"relay_s": relay_s, "worst_s": worst, "alone_s": alone_s, "ratio": ratio}
         print(
-            f"{way}: relay {a:.3f} s (worst {worst:.3f}), interpreter with Twisted alone {b:.3f} s, ratio {ratio:.2f}"
+            f"{case}: relay {relay_s:.3f} s (worst {worst:.3f}), "
+            f"interpreter with Twisted alone {alone_s:.3f} s, ratio {ratio:.2f}"
         )
     if "--json" in sys.argv:
-        print(json.dumps(told))
+        print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Test-wide settings: hypothesis draws the same examples every time, and KNOWN-RED.txt is heeded."""
+"""Test-wide settings: reproducible hypothesis examples, and the expected failures listed in KNOWN-RED.txt."""
 
 from hypothesis import settings
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary  # noqa: F401
--- a/tests/sites.py
+++ b/tests/sites.py
@@ -1,9 +1,8 @@
-"""The two deployments that the relay serves, as fixtures of this project's own.
+"""The settings of two deployments, for tests that run once for each of ``SITES``.
 
-Written from the figures of the operators' pages, in the form that a relay reads from its configuration
-(nested JSON, nanoseconds): the home deployment with four classes, no tenants, asked discovery and six
-attempts; the second with two classes of very different weight, two studios with shares, pushed lists and
-five attempts. Tests that take ``SITES`` run once for each, in turn.
+The values are those of the operators' pages, in the form that a relay reads from its configuration (nested JSON,
+nanoseconds). The home deployment has four classes, no tenants, discovery on request and six attempts; the second has
+two classes of very different worth, two tenants with shares, pushed lists and five attempts.
 """
 
 from __future__ import annotations
@@ -24,16 +23,18 @@
     tenants: tuple[str, ...] = field(init=False)
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "classes", tuple(each["Name"] for each in self.settings["Classes"]))
-        object.__setattr__(self, "tenants", tuple(each["Name"] for each in self.settings.get("Accounts", ())))
+        object.__setattr__(self, "classes", tuple(entry["Name"] for entry in self.settings["Classes"]))
+        object.__setattr__(self, "tenants", tuple(entry["Name"] for entry in self.settings.get("Accounts", ())))
 
     def open(self, number: int, request_class: str = "", tenant: str = "", more: str = "", wait: int = 0) -> str:
-        """Return a first line as this site's clients write it; ``wait`` in ms, else the class's give-up time."""
-        chosen = request_class or self.classes[0]
-        entry = next(each for each in self.settings["Classes"] if each["Name"] == chosen)
-        told = wait or entry["Deadline"] // MS
-        named = f",t={tenant}" if tenant else ""
-        return f"OPEN {number:016x} 7f3a9c21e0b4d655 c={chosen}{named},d={told},g=5c0f6e1a2b3d4c59{more}"
+        """Return a first line as this site's clients write it; ``wait`` in ms, by default the deadline of the class."""
+        class_name = request_class or self.classes[0]
+        entry = next(item for item in self.settings["Classes"] if item["Name"] == class_name)
+        deadline_ms = wait or entry["Deadline"] // MS
+        tenant_value = f",t={tenant}" if tenant else ""
+        return (
+            f"OPEN {number:016x} 7f3a9c21e0b4d655 c={class_name}{tenant_value},d={deadline_ms},g=5c0f6e1a2b3d4c59{more}"
+        )
 
 
 def _class(name: str, aim_ms: int, deadline_ms: int, worth: float) -> dict[str, Any]:
--- a/tests/test_site_overlays.py
+++ b/tests/test_site_overlays.py
@@ -1,4 +1,4 @@
-"""The overlays of other deployments: what they change of a site file, and what is told of a bad one."""
+"""``deploy/sites/write.py``: the changes of an overlay to a site file, and the errors reported for a bad one."""
 
 from __future__ import annotations
 
@@ -24,46 +24,46 @@
 """
 
 
-def run(folder: Path, overlay: str, base: str | None = BASE, beside: bool = True) -> tuple[int, str]:
-    """Run the script of a copy of the folder, with one overlay, on a kit of one base."""
-    kit, here = folder / "kit", folder / "sites"
+def run(folder: Path, overlay: str, base: str | None = BASE, support_files: bool = True) -> tuple[int, str]:
+    """Run a copy of the script with a valid overlay and the one given, on a kit with one base site."""
+    kit, sites = folder / "kit", folder / "sites"
     (kit / "at").mkdir(parents=True)
-    here.mkdir()
+    sites.mkdir()
     if base is not None:
         (kit / "at" / "base.toml").write_text(base)
-    for name in ("real.json", "wire.json", "unlock.txt") if beside else ():
+    for name in ("real.json", "wire.json", "unlock.txt") if support_files else ():
         (kit / "at" / name).write_text(f"this is {name}")
-    (here / "write.py").write_text((SITES / "write.py").read_text())
-    (here / "sound.toml").write_text('base = "at/base.toml"\n[site]\nname = "sound"\n')
-    (here / "the.toml").write_text(overlay)
-    ran = subprocess.run(
-        [sys.executable, str(here / "write.py"), str(kit)], capture_output=True, text=True, timeout=60, check=False
+    (sites / "write.py").write_text((SITES / "write.py").read_text())
+    (sites / "sound.toml").write_text('base = "at/base.toml"\n[site]\nname = "sound"\n')
+    (sites / "the.toml").write_text(overlay)
+    completed = subprocess.run(
+        [sys.executable, str(sites / "write.py"), str(kit)], capture_output=True, text=True, timeout=60, check=False
     )
-    return ran.returncode, ran.stdout + ran.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
-def test_an_overlay_changes_what_it_names_and_nothing_else(tmp_path: Path) -> None:
-    code, told = run(
+def test_an_overlay_changes_only_the_keys_it_names(tmp_path: Path) -> None:
+    code, output = run(
         tmp_path,
         'base = "at/base.toml"\n[site]\nname = "the"\n[site.net]\nzones = ["c"]\n'
         '[[class]]\nwas = "two"\nname = "other"\n',
     )
-    made = tmp_path / "sites" / "the"
-    assert code == 0 and str(made / "the.toml") in told
-    assert tomllib.loads((made / "the.toml").read_text()) == {
+    written = tmp_path / "sites" / "the"
+    assert code == 0 and str(written / "the.toml") in output
+    assert tomllib.loads((written / "the.toml").read_text()) == {
         "name": "the",
         "net": {"zones": ["c"]},
         "prices": {"moves": 0.1},
         "class": [{"name": "one", "worth": 1}, {"name": "other", "worth": 2}],
     }
-    assert (made / "unlock.txt").read_text() == "this is unlock.txt"
+    assert (written / "unlock.txt").read_text() == "this is unlock.txt"
 
 
 @pytest.mark.parametrize(
-    "overlay,why",
+    "overlay,message",
     [
         ('base = "at/base.toml"\n[site.net]\nzone = ["c"]\n', "the.toml: site.net.zone: the base has no such key"),
-        ('base = "at/base.toml"\n[site]\nnet = 3\n', "the.toml: site.net: a table stands for a value"),
+        ('base = "at/base.toml"\n[site]\nnet = 3\n', "the.toml: site.net: a table is given for a value"),
         ('base = "at/base.toml"\n[[class]]\nwas = "three"\n', "the.toml: class[0].was: the base has no class 'three'"),
         (
             'base = "at/base.toml"\n[[class]]\nwas = "one"\nwort = 3\n',
@@ -75,18 +75,20 @@
         ("base = \n", "the.toml: Invalid value"),
     ],
 )
-def test_a_bad_overlay_is_told_with_its_place_and_nothing_is_written(tmp_path: Path, overlay: str, why: str) -> None:
-    code, told = run(tmp_path, overlay)
-    assert code == 2 and why in told, told
-    assert not [each for each in (tmp_path / "sites").iterdir() if each.is_dir()]
+def test_a_bad_overlay_is_reported_with_its_place_and_nothing_is_written(
+    tmp_path: Path, overlay: str, message: str
+) -> None:
+    code, output = run(tmp_path, overlay)
+    assert code == 2 and message in output, output
+    assert not [path for path in (tmp_path / "sites").iterdir() if path.is_dir()]
 
 
 @pytest.mark.parametrize(
-    "base,beside,why", [(None, True, "base.toml: no such file"), (BASE, False, "real.json: no such file")]
+    "base,support_files,message", [(None, True, "base.toml: no such file"), (BASE, False, "real.json: no such file")]
 )
-def test_a_kit_that_is_not_there_is_told_and_nothing_is_written(
-    tmp_path: Path, base: str | None, beside: bool, why: str
+def test_a_missing_file_of_the_kit_is_reported_and_nothing_is_written(
+    tmp_path: Path, base: str | None, support_files: bool, message: str
 ) -> None:
-    code, told = run(tmp_path, 'base = "at/base.toml"\n', base, beside)
-    assert code == 2 and why in told, told
-    assert not [each for each in (tmp_path / "sites").iterdir() if each.is_dir()]
+    code, output = run(tmp_path, 'base = "at/base.toml"\n', base, support_files)
+    assert code == 2 and message in output, output
+    assert not [path for path in (tmp_path / "sites").iterdir() if path.is_dir()]
