--- a/scaledeal/lab/relay.py
+++ b/scaledeal/lab/relay.py
@@ -105,7 +105,7 @@
         return [line for line in self.log if text in line]
 
     def wait_for_log_line(self, text: str, times: int = 1) -> str:
-        """Wait until ``times`` log lines contain the text, and return the last of these.
+        """Wait until ``times`` log lines contain the text, and return the one of that number.
 
         Raises AssertionError with the end of the log if the relay ends first or the time-out expires.
         """
--- a/scaledeal/net/roster.py
+++ b/scaledeal/net/roster.py
@@ -21,8 +21,8 @@
 
 MAX_NEW_START_AGE_MS = 60_000.0  # age that a start may have when a list on a watch first reports it
 MAX_CLOCK_LEAD_MS = 1000.0  # a start may be this far ahead of this machine's clock without a log line
-MIN_WEIGHT = 1e-6  # below it, a ranking by weight divides by zero
-MAX_WEIGHT = 1e9  # above it, a ranking by weight ranks no other server
+MIN_WEIGHT = 1e-6  # below it, a ranking by weight may divide by zero
+MAX_WEIGHT = 1e9  # above it, a ranking by weight would rank no other server
 MAX_SERVER_RECORDS = 4096  # servers whose starts are kept, whether they are listed or not
 
 INVALID_START = "discovery list: an invalid start"
--- a/tests/discovery_wire.py
+++ b/tests/discovery_wire.py
@@ -1,4 +1,4 @@
-"""A whole relay in simulated time, its HTTP client in force, and discoveries that say what the test has them say."""
+"""A whole relay with its real HTTP client in simulated time, and scripted discoveries that it calls."""
 
 from __future__ import annotations
 
@@ -34,16 +34,18 @@
     "Siblings": 3,
     "Me": 1,
 }
-OLD, NEW, THIRD = "10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"
+OLD = "10.0.0.1:1"
+NEW = "10.0.0.2:1"
+THIRD = "10.0.0.3:1"
 
 
-class HttpWire:
-    """A connection to a discovery, whose end the test moves."""
+class HttpConnection:
+    """A connection of the relay to a discovery, whose remote end the test controls."""
 
     disconnecting = False
 
-    def __init__(self, net: Net, at: Discovery, factory: Any) -> None:
-        self.net, self.at = net, at
+    def __init__(self, net: FakeNet, discovery: FakeDiscovery, factory: Any) -> None:
+        self.net, self.discovery = net, discovery
         self.sent, self.lost, self.aborted = b"", False, False
         self.protocol = factory.buildProtocol(None)
         self.protocol.makeConnection(self)
@@ -51,9 +53,9 @@
     def write(self, data: bytes) -> None:
         self.sent += data
         if self.sent.endswith(b"\r\n\r\n"):
-            self.at.calls.append(Call(self, self.sent.split(b" ")[1].decode().partition("members")[2]))
+            self.discovery.calls.append(ReceivedCall(self, self.sent.split(b" ")[1].decode().partition("members")[2]))
             self.sent = b""
-            self.at.asked(self.at.calls[-1])
+            self.discovery.handle_call(self.discovery.calls[-1])
 
     def writeSequence(self, parts: list[bytes]) -> None:
         self.write(b"".join(parts))
@@ -65,47 +67,47 @@
         self.aborted = True
         self.net.callLater(0, self.lose, error.ConnectionAborted())
 
-    def lose(self, why: Exception) -> None:
+    def lose(self, reason: Exception) -> None:
         if not self.lost:
             self.lost = True
-            self.protocol.connectionLost(Failure(why))
+            self.protocol.connectionLost(Failure(reason))
 
     def receive(self, data: bytes) -> None:
         if not self.lost and not self.aborted:
             self.protocol.dataReceived(data)
 
-    def nothing(self, *_: Any) -> None:
-        """Stand in for what a transport has besides."""
+    def ignore(self, *_: Any) -> None:
+        """Stand in for the other methods of a transport."""
 
     def __getattr__(self, name: str) -> Any:
         if name.endswith(("Producing", "Producer")):
-            return self.nothing
+            return self.ignore
         raise AttributeError(name)
 
 
-class Call:
+class ReceivedCall:
     """A call that has reached a discovery."""
 
-    def __init__(self, wire: HttpWire, query: str) -> None:
-        self.wire, self.query, self.answered = wire, query, False
+    def __init__(self, connection: HttpConnection, query: str) -> None:
+        self.connection, self.query, self.answered = connection, query, False
 
-    def say(self, body: bytes, step: int = 0, chunked: bool = False, header: bool = True) -> None:
-        """Answer, in pieces of ``step`` bytes, all at once for 0."""
+    def reply(self, body: bytes, step: int = 0, chunked: bool = False, header: bool = True) -> None:
+        """Answer in pieces of ``step`` bytes, or in one piece for 0."""
         self.answered = True
-        kind = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: %d" % len(body)
+        framing = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: %d" % len(body)
         if chunked:
             body = b"".join(b"1\r\n%c\r\n" % byte for byte in body) + b"0\r\n\r\n"
-        data = (b"HTTP/1.1 200 OK\r\n" + kind + b"\r\n\r\n") * header + body
-        for at in range(0, len(data), step or len(data)):
-            self.wire.receive(data[at : at + (step or len(data))])
+        data = (b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n") * header + body
+        for start in range(0, len(data), step or len(data)):
+            self.connection.receive(data[start : start + (step or len(data))])
 
 
-class Discovery:
-    """One discovery, or an agent: what becomes of its callers is told by ``mode``."""
+class FakeDiscovery:
+    """One discovery, or an agent; ``mode`` decides what happens to its callers."""
 
-    def __init__(self, net: Net, address: str) -> None:
-        self.net, self.calls, self.wires = net, list[Call](), list[HttpWire]()
-        self.mode = "answers"  # or "silent", "refuses", "unreachable", "held" (calls wait for the test)
+    def __init__(self, net: FakeNet, address: str) -> None:
+        self.net, self.calls, self.connections = net, list[ReceivedCall](), list[HttpConnection]()
+        self.mode = "answers"  # or "silent", "refuses", "unreachable", "held" (calls are answered by the test)
         self.index, self.states = 1, {"s0": "active", "s1": "active"}
         self.since: dict[str, float] = {}  # starts, in Unix ms
         net.discoveries[address] = self
@@ -123,57 +125,57 @@
             }
             for name, state in self.states.items()
         ]
-        told = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
-        return json.dumps(told, indent=indent).encode()
+        roster = {"index": self.index, "snapshot": snapshot, "endpoints": entries}
+        return json.dumps(roster, indent=indent).encode()
 
-    def dialled(self, made: Dialled) -> None:
+    def handle_dial(self, dial: Dialled) -> None:
         if self.mode == "refuses":
-            self.net.callLater(0, made.fail)
+            self.net.callLater(0, dial.fail)
         elif self.mode != "unreachable":
-            self.net.callLater(0, self._up, made)
+            self.net.callLater(0, self._connect, dial)
 
-    def _up(self, made: Dialled) -> None:
-        if not made.over:
-            made.over = True
-            made.due.cancel()
-            self.wires.append(HttpWire(self.net, self, made.factory))
+    def _connect(self, dial: Dialled) -> None:
+        if not dial.over:
+            dial.over = True
+            dial.due.cancel()
+            self.connections.append(HttpConnection(self.net, self, dial.factory))
 
-    def asked(self, call: Call) -> None:
+    def handle_call(self, call: ReceivedCall) -> None:
         after, _, wait = call.query.partition("&wait_ms=")
         if self.mode == "answers":
-            known = after == f"?after={self.index}"
-            self.net.callLater(int(wait) / 1000 if known else 0, self._over, call, known)
+            up_to_date = after == f"?after={self.index}"
+            self.net.callLater(int(wait) / 1000 if up_to_date else 0, self._answer, call, up_to_date)
 
-    def _over(self, call: Call, known: bool) -> None:
+    def _answer(self, call: ReceivedCall, up_to_date: bool) -> None:
         if self.mode == "answers" and call is self.calls[-1] and not call.answered:
-            call.say(self.listing() if not known else b'{"index":%d,"snapshot":false}' % self.index)
+            call.reply(self.listing() if not up_to_date else b'{"index":%d,"snapshot":false}' % self.index)
 
-    def now_has(self, **states: str) -> None:
-        """Have news, and answer the watch that is out, where it answers at all."""
+    def change_servers(self, **states: str) -> None:
+        """Change the states of servers, and answer the open watch if the mode is "answers"."""
         self.index += 1
         self.states |= states
         if self.mode == "answers" and self.calls and not self.calls[-1].answered:
-            self.calls[-1].say(self.listing())
+            self.calls[-1].reply(self.listing())
 
-    def back(self) -> None:
-        """Answer from here on; what was asked before is never answered."""
+    def recover(self) -> None:
+        """Answer calls from now on; earlier calls are never answered."""
         self.mode = "answers"
         for call in self.calls:
             call.answered = True
 
     def reset(self) -> None:
-        """Reset all connections."""
-        for wire in self.wires:
-            wire.lose(error.ConnectionLost())
+        """Break all connections."""
+        for connection in self.connections:
+            connection.lose(error.ConnectionLost())
 
 
 @implementer(IReactorPluggableNameResolver)
-class Net(FakeReactor):
-    """The reactor of one relay, with discoveries on it."""
+class FakeNet(FakeReactor):
+    """The reactor of one relay, on which the discoveries can be reached."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.discoveries: dict[str, Discovery] = {}
+        self.discoveries: dict[str, FakeDiscovery] = {}
         self.nameResolver = SimpleNamespace(resolveHostName=self._resolve)
 
     def _resolve(self, receiver: Any, host: str, **more: Any) -> None:
@@ -182,24 +184,24 @@
         receiver.resolutionComplete()
 
     def installNameResolver(self, resolver: Any) -> None:
-        """Nothing."""
+        """Keep the resolver of this class."""
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30, *_: Any, **__: Any) -> Dialled:
-        made = super().connectTCP(host, port, factory, timeout)
-        made.getDestination = lambda: made.address  # type: ignore[attr-defined]
-        factory.startedConnecting(made)
-        if at := self.discoveries.get(made.address):
-            at.dialled(made)
-        return made
+        dial = super().connectTCP(host, port, factory, timeout)
+        dial.getDestination = lambda: dial.address  # type: ignore[attr-defined]
+        factory.startedConnecting(dial)
+        if discovery := self.discoveries.get(dial.address):
+            discovery.handle_dial(dial)
+        return dial
 
 
-class OneRelay:
-    """A relay told of one discovery, and two more that a reload may name."""
+class RelayHarness:
+    """A relay configured for one discovery, and two more discoveries that a reload may name."""
 
     def __init__(self, patch: pytest.MonkeyPatch, folder: Path, pushed: bool, start: bool = True) -> None:
-        self.net = Net()
+        self.net = FakeNet()
         self.net.advance(1000)
-        self.old, self.new, self.third = (Discovery(self.net, each) for each in (OLD, NEW, THIRD))
+        self.old, self.new, self.third = (FakeDiscovery(self.net, address) for address in (OLD, NEW, THIRD))
         self.path = folder / "c.json"
         self.file: dict[str, Any] = {
             "settings": {**SETTINGS, "Discovery": "pushed" if pushed else "on_request"},
@@ -207,7 +209,9 @@
         }
         self.path.write_text(json.dumps(self.file))
         patch.setenv("PROXY_CONFIG", str(self.path))
-        read = config.read({"PROXY_CONFIG": str(self.path), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": OLD})
+        configuration = config.read(
+            {"PROXY_CONFIG": str(self.path), "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": OLD}
+        )
         system = System()
         port = SimpleNamespace(
             startListening=lambda: None,
@@ -217,7 +221,7 @@
         )
         system.monotonic = system.unix = lambda: int(self.net.seconds() * 1e9)  # type: ignore[method-assign]
         system.port = lambda *_: port  # type: ignore[method-assign, assignment, return-value]
-        self.relay = Relay(self.net, read, system)
+        self.relay = Relay(self.net, configuration, system)
         if start:
             self.relay.start()
 
@@ -225,20 +229,20 @@
         self.net.pump([step] * round(seconds / step))
 
     def reload(self, discovery: str = NEW, text: str = "") -> None:
-        """Tell the relay of a new file, as SIGHUP does."""
+        """Write a new configuration file, and have the relay read it as on SIGHUP."""
         self.path.write_text(text or json.dumps({**self.file, "discovery": discovery}))
         self.relay.reload()
 
     def state(self, server: str) -> str:
-        """Return how the decision module takes a server; nothing where it doesn't know it."""
+        """Return the state of a server in the decision module; "" if it does not know the server."""
         known = self.relay.driver.balancer.servers.get(server)
         return known.state.value if known else ""
 
-    def sent_to(self, number: int) -> str:
-        """Have a client ask, and return the address where its attempt goes, if one begins at once."""
+    def attempt_address(self, number: int) -> str:
+        """Send a client's request; return the address of the attempt that starts at once, "" if none does."""
         before = len(self.net.dialled)
         Wire(self.net, self.relay.door.buildProtocol(None)).receive(
             b"OPEN %x %x c=browse,d=3000,g=5c0f\r\n" % (number, number)
         )
-        attempts = [made for made in self.net.dialled[before:] if made.address not in self.net.discoveries]
+        attempts = [dial for dial in self.net.dialled[before:] if dial.address not in self.net.discoveries]
         return attempts[0].address if attempts else ""
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -1,4 +1,4 @@
-"""A relay that is told of another discovery, and what its HTTP client makes of answers; each crossing is forced."""
+"""Reloads that name another discovery, at every state of the old one's calls, and answers in odd forms."""
 
 from __future__ import annotations
 
@@ -7,91 +7,97 @@
 from pathlib import Path
 
 import pytest
-from discovery_wire import NEW, OLD, THIRD, OneRelay
+from discovery_wire import NEW, OLD, THIRD, RelayHarness
 
 from scaledeal.net.discovery_watch import HEADER_TOO_LONG, MAX_HEADER_BYTES
 from scaledeal.net.watch_times import PRESUMED_KNOWN_S
 
-GRACE = 1.0  # seconds that a drain leaves, as the relay's settings say
-WINDOW = GRACE + 0.05  # the rule on sockets
-CROSSINGS = (
-    "a watch is out",
-    "a list call is out",
+DRAIN_GRACE_S = 1.0  # as in the relay's settings
+DRAIN_WINDOW_S = DRAIN_GRACE_S + 0.05  # time after which nothing may be sent to a draining server
+OLD_CALL_STATES = (
+    "a watch is open",
+    "a list call is open",
     "half an answer has come",
-    "a call has fallen silent",
+    "a call has timed out",
     "discovery refuses",
     "discovery can't be reached",
     "an answer was not understood",
 )
 
 
-def crossed(one: OneRelay, crossing: str) -> None:
-    """Bring the relay's dealings with its old discovery to where the reload is to meet them."""
-    if crossing == "a list call is out":
-        one.old.mode = "held"
-        one.old.calls[-1].say(b'{"index":1,"snapshot":false,"endpoints":[]}')  # the list went back: all is asked for
-        assert one.old.calls[-1].query == ""
-    elif crossing == "half an answer has come":
-        one.old.calls[-1].say(one.old.listing()[:40] + b" " * 200)
-        one.old.calls[-1].wire.receive(b"")
-    elif crossing == "a call has fallen silent":
-        one.old.mode = "silent"
-        one.run(7.1)
-    elif crossing == "discovery refuses":
-        one.old.mode = "refuses"
-        one.old.reset()
-        one.run(0.1)
-    elif crossing == "discovery can't be reached":
-        one.old.mode = "unreachable"
-        one.old.reset()
-        one.run(0.9)
-    elif crossing == "an answer was not understood":
-        one.old.calls[-1].say(b'{"index":9,"endpoi')
+def bring_old_call_to(harness: RelayHarness, state: str) -> None:
+    """Bring the relay's call at its old discovery to one of ``OLD_CALL_STATES``."""
+    if state == "a list call is open":
+        harness.old.mode = "held"
+        # The version goes back, so the whole list is requested.
+        harness.old.calls[-1].reply(b'{"index":1,"snapshot":false,"endpoints":[]}')
+        assert harness.old.calls[-1].query == ""
+    elif state == "half an answer has come":
+        harness.old.calls[-1].reply(harness.old.listing()[:40] + b" " * 200)
+        harness.old.calls[-1].connection.receive(b"")
+    elif state == "a call has timed out":
+        harness.old.mode = "silent"
+        harness.run(7.1)
+    elif state == "discovery refuses":
+        harness.old.mode = "refuses"
+        harness.old.reset()
+        harness.run(0.1)
+    elif state == "discovery can't be reached":
+        harness.old.mode = "unreachable"
+        harness.old.reset()
+        harness.run(0.9)
+    elif state == "an answer was not understood":
+        harness.old.calls[-1].reply(b'{"index":9,"endpoi')
 
 
 @pytest.mark.parametrize("index", [1, 7, 99])
-@pytest.mark.parametrize("crossing", CROSSINGS)
+@pytest.mark.parametrize("state", OLD_CALL_STATES)
 @pytest.mark.parametrize("pushed", [True, False])
-def test_after_a_reload_the_new_discovery_alone_counts_whatever_was_out_at_the_old(
-    monkeypatch, tmp_path: Path, pushed: bool, crossing: str, index: int
+def test_after_a_reload_only_the_new_discovery_is_used_whatever_the_state_of_the_old_call(
+    monkeypatch, tmp_path: Path, pushed: bool, state: str, index: int
 ) -> None:
-    # Guards against an old discovery's late answer after the new one's list, and against its version asked for there.
-    one = OneRelay(monkeypatch, tmp_path, pushed)
-    one.run(2)
-    one.old.index = 6
-    one.old.now_has()
-    one.run(0.3)
-    crossed(one, crossing)
-    out, calls, dials = one.old.calls[-1], len(one.old.calls), len(one.net.dialled)
-    one.new.index = index - 1
-    one.reload()
-    one.new.now_has(s0="leaving")
-    one.run(0.2)
-    assert one.new.calls[0].query == "", "the old discovery's version was asked for"
-    assert one.state("s0") == "draining", "what the new discovery has is not in force"
-    out.say(one.old.listing(), header=not out.answered)
-    one.run(1)
-    one.new.now_has(s1="leaving", s2="active")
-    one.run(8)
-    assert [one.state(each) for each in ("s0", "s1", "s2")] == ["draining", "draining", "live"]
-    assert one.sent_to(1) == "10.1.0.2:9"
-    assert len(one.old.calls) == calls and all(wire.lost for wire in one.old.wires), "the old discovery is still asked"
-    assert OLD not in [made.address for made in one.net.dialled[dials:]]
-    assert one.relay.discovery.index == index + 1
-
-
-def test_a_start_that_one_discovery_told_is_not_forgotten_as_another_takes_over(monkeypatch, tmp_path: Path) -> None:
-    # Guards against a cold server taken for a warm one because the new discovery's list tells no start, or an earlier.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    one.old.since = {"s2": one.net.seconds() * 1000 - 500, "s3": one.net.seconds() * 1000 - 500}
-    one.old.now_has(s2="active", s3="active")
-    one.run(0.1)
-    one.new.states, one.new.since = dict(one.old.states), {"s3": 1000.0}
-    one.reload()
-    one.run(0.2)
-    module = one.relay.driver.balancer
-    assert one.relay.discovery.index == 1 and [module.is_cold(module.servers[each]) for each in ("s1", "s2", "s3")] == [
+    # A late answer of the old discovery must not be taken after the new one's list, and its version must not
+    # be sent to the new one.
+    harness = RelayHarness(monkeypatch, tmp_path, pushed)
+    harness.run(2)
+    harness.old.index = 6
+    harness.old.change_servers()
+    harness.run(0.3)
+    bring_old_call_to(harness, state)
+    old_call, calls, dials = harness.old.calls[-1], len(harness.old.calls), len(harness.net.dialled)
+    harness.new.index = index - 1
+    harness.reload()
+    harness.new.change_servers(s0="leaving")
+    harness.run(0.2)
+    assert harness.new.calls[0].query == "", "the old discovery's version was requested"
+    assert harness.state("s0") == "draining", "the new discovery's list is not in force"
+    old_call.reply(harness.old.listing(), header=not old_call.answered)
+    harness.run(1)
+    harness.new.change_servers(s1="leaving", s2="active")
+    harness.run(8)
+    assert [harness.state(server) for server in ("s0", "s1", "s2")] == ["draining", "draining", "live"]
+    assert harness.attempt_address(1) == "10.1.0.2:9"
+    assert len(harness.old.calls) == calls and all(connection.lost for connection in harness.old.connections), (
+        "the old discovery is still called"
+    )
+    assert OLD not in [dial.address for dial in harness.net.dialled[dials:]]
+    assert harness.relay.discovery.index == index + 1
+
+
+def test_the_start_of_a_server_is_kept_when_another_discovery_takes_over(monkeypatch, tmp_path: Path) -> None:
+    # A cold server must not count as warm because the new discovery's list has no start for it, or an earlier one.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    harness.old.since = {"s2": harness.net.seconds() * 1000 - 500, "s3": harness.net.seconds() * 1000 - 500}
+    harness.old.change_servers(s2="active", s3="active")
+    harness.run(0.1)
+    harness.new.states, harness.new.since = dict(harness.old.states), {"s3": 1000.0}
+    harness.reload()
+    harness.run(0.2)
+    module = harness.relay.driver.balancer
+    assert harness.relay.discovery.index == 1 and [
+        module.is_cold(module.servers[server]) for server in ("s1", "s2", "s3")
+    ] == [
         False,
         True,
         True,
@@ -100,52 +106,56 @@
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("mode", ["silent", "refuses", "unreachable"])
-def test_a_new_discovery_that_is_away_at_the_reload_is_heard_of_in_time_once_it_is_back(
+def test_a_drain_is_learned_in_time_from_a_new_discovery_that_was_unavailable_at_the_reload(
     monkeypatch, tmp_path: Path, pushed: bool, mode: str
 ) -> None:
-    # Guards against a call that an agent's silence holds longer than the drain's grace: 1.2 s it was.
-    latest = 0.0
-    for call in range(1, 12):  # it comes back just after that call to it began, the longest before the next
-        one = OneRelay(monkeypatch, tmp_path, pushed)
-        one.run(1)
-        one.new.mode = mode
-        one.reload()
-        while [made.address for made in one.net.dialled].count(NEW) < call:
-            one.run(0.01, 0.01)
-        one.run(0.01, 0.01)
-        one.new.back()
-        one.new.now_has(s0="leaving")
-        back = one.net.seconds()
-        while one.state("s0") != "draining" and one.net.seconds() < back + 9:
-            one.run(0.02, 0.01)
-        latest = max(latest, one.net.seconds() - back)
-        assert one.sent_to(1) == "10.1.0.1:9"
-    # An agent's news counts at once: 0.1 s of the grace is left for its answer.
-    most = GRACE - 0.1 if pushed else PRESUMED_KNOWN_S + WINDOW
-    assert latest <= most, f"heard {latest:.2f} s after it was back"
+    # A call to a silent agent must not be kept open longer than the drain's grace (1.0 s): it used to last 1.2 s.
+    slowest = 0.0
+    for call in range(1, 12):  # it recovers just after this call began: the longest time before the next one
+        harness = RelayHarness(monkeypatch, tmp_path, pushed)
+        harness.run(1)
+        harness.new.mode = mode
+        harness.reload()
+        while [dial.address for dial in harness.net.dialled].count(NEW) < call:
+            harness.run(0.01, 0.01)
+        harness.run(0.01, 0.01)
+        harness.new.recover()
+        harness.new.change_servers(s0="leaving")
+        recovered = harness.net.seconds()
+        while harness.state("s0") != "draining" and harness.net.seconds() < recovered + 9:
+            harness.run(0.02, 0.01)
+        slowest = max(slowest, harness.net.seconds() - recovered)
+        assert harness.attempt_address(1) == "10.1.0.1:9"
+    # An agent's news is presumed known at once; 0.1 s of the grace is left for its answer.
+    longest = DRAIN_GRACE_S - 0.1 if pushed else PRESUMED_KNOWN_S + DRAIN_WINDOW_S
+    assert slowest <= longest, f"drain learned {slowest:.2f} s after the recovery"
 
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("wait", [0.0, 0.1])
-@pytest.mark.parametrize("row", [(NEW, THIRD), (NEW, OLD), (NEW, OLD, NEW), (OLD,)])
-def test_of_several_reloads_in_a_row_the_last_counts(
-    monkeypatch, tmp_path: Path, pushed: bool, wait: float, row: tuple[str, ...]
+@pytest.mark.parametrize("addresses", [(NEW, THIRD), (NEW, OLD), (NEW, OLD, NEW), (OLD,)])
+def test_of_several_reloads_in_a_row_the_last_is_in_force(
+    monkeypatch, tmp_path: Path, pushed: bool, wait: float, addresses: tuple[str, ...]
 ) -> None:
-    one = OneRelay(monkeypatch, tmp_path, pushed)
-    one.run(1)
-    states = {OLD: "s3", NEW: "s4", THIRD: "s5"}
-    for number, each in enumerate((one.old, one.new, one.third)):
-        each.states |= {f"s{number + 3}": "active"}
-    for address in row:
-        one.reload(address)
-        one.run(wait)
-    last = one.net.discoveries[row[-1]]
-    last.now_has(s0="leaving")
-    one.run(0.3)
-    listed = {each for each in states.values() if one.state(each)}
-    assert listed == {states[row[-1]]} and one.state("s0") == "draining"
-    out = [address for address, each in one.net.discoveries.items() if any(not wire.lost for wire in each.wires)]
-    assert out == [row[-1]], "a call is still out elsewhere"
+    harness = RelayHarness(monkeypatch, tmp_path, pushed)
+    harness.run(1)
+    server_of = {OLD: "s3", NEW: "s4", THIRD: "s5"}
+    for number, discovery in enumerate((harness.old, harness.new, harness.third)):
+        discovery.states |= {f"s{number + 3}": "active"}
+    for address in addresses:
+        harness.reload(address)
+        harness.run(wait)
+    last = harness.net.discoveries[addresses[-1]]
+    last.change_servers(s0="leaving")
+    harness.run(0.3)
+    listed = {server for server in server_of.values() if harness.state(server)}
+    assert listed == {server_of[addresses[-1]]} and harness.state("s0") == "draining"
+    connected = [
+        address
+        for address, discovery in harness.net.discoveries.items()
+        if any(not connection.lost for connection in discovery.connections)
+    ]
+    assert connected == [addresses[-1]], "a call to another discovery is still open"
 
 
 @pytest.mark.parametrize(
@@ -154,112 +164,116 @@
         "{",
         '{"more":' + "[" * 200_000,
         "\udcff",
-        *(f"discovery {odd}" for odd in ("here", "a b:1", "h/x:1", "é:1", "h:70000", ":1")),
+        *(f"discovery {address}" for address in ("here", "a b:1", "h/x:1", "é:1", "h:70000", ":1")),
         None,
     ],
 )
-def test_a_file_that_cannot_be_taken_leaves_the_watch_that_is_out(
+def test_an_invalid_file_leaves_the_open_watch_as_it_is(
     monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, text: str | None
 ) -> None:
-    # Guards against an address that no call can be made to, for which the watch that is out was ended.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(3)
-    calls = len(one.old.calls)
+    # An address that can't be called must not end the open watch.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(3)
+    calls = len(harness.old.calls)
     if text is None:
-        one.path.unlink()
-        one.relay.reload()
+        harness.path.unlink()
+        harness.relay.reload()
     elif text.startswith("discovery"):
-        one.reload(text.partition(" ")[2])
+        harness.reload(text.partition(" ")[2])
     else:
-        one.path.write_bytes(text.encode("utf-8", "surrogateescape"))
-        one.relay.reload()
-    (told,) = (each.getMessage() for each in caplog.records)
-    assert told.startswith("configuration not taken") and "classes" not in told, told
-    assert len(one.old.calls) == calls and not one.old.wires[-1].lost
-    one.old.now_has(s0="leaving")
-    one.run(0.1)
-    assert one.state("s0") == "draining"
+        harness.path.write_bytes(text.encode("utf-8", "surrogateescape"))
+        harness.relay.reload()
+    (message,) = (record.getMessage() for record in caplog.records)
+    assert message.startswith("configuration not taken") and "classes" not in message, message
+    assert len(harness.old.calls) == calls and not harness.old.connections[-1].lost
+    harness.old.change_servers(s0="leaving")
+    harness.run(0.1)
+    assert harness.state("s0") == "draining"
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_reload_before_the_list_of_the_start_has_been_told_goes_before_it(
+def test_a_reload_before_the_start_list_is_reported_replaces_that_list(
     monkeypatch, tmp_path: Path, pushed: bool
 ) -> None:
-    # Guards against the file's list, and its version, taken after what the new discovery said: while a start waits for
-    # the process that serves.
-    one = OneRelay(monkeypatch, tmp_path, pushed, start=False)
-    one.new.states = {"s7": "active"}
-    one.reload()
-    one.run(0.5)
-    one.relay.start()
-    one.run(0.5)
-    assert [call.query.partition("&")[0] for call in one.new.calls] == ["", "?after=1"] and not one.old.calls
-    assert (one.state("s7"), one.state("s0")) == ("live", "")
+    # While a new process waits for the one that serves, the list of the configuration file has not been reported yet.
+    # Neither it nor its version may be taken after the new discovery's answer.
+    harness = RelayHarness(monkeypatch, tmp_path, pushed, start=False)
+    harness.new.states = {"s7": "active"}
+    harness.reload()
+    harness.run(0.5)
+    harness.relay.start()
+    harness.run(0.5)
+    assert [call.query.partition("&")[0] for call in harness.new.calls] == ["", "?after=1"] and not harness.old.calls
+    assert (harness.state("s7"), harness.state("s0")) == ("live", "")
 
 
 @pytest.mark.parametrize(("step", "chunked", "indent"), list(product([1, 7, 0], [True, False], [None, 2])))
-def test_a_whole_list_on_a_watch_is_read_in_any_form(
+def test_a_whole_list_as_the_answer_to_a_watch_is_read_in_any_form(
     monkeypatch, tmp_path: Path, step: int, chunked: bool, indent: int | None
 ) -> None:
-    # Guards against a list cut where a piece ends, and against a server that a whole list lacks taken for a live one.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    one.old.states = {"s1": "leaving", "s2": "active"}
-    one.old.index = 9
-    one.old.calls[-1].say(one.old.listing(indent=indent), step, chunked)
-    assert [one.state(each) for each in ("s0", "s1", "s2")] == ["", "draining", "live"]
-    assert one.old.calls[-1].query.startswith("?after=9&"), "the watch goes on at once"
-    one.old.states, one.old.index = {"s9": "left", "s2": "left", "s3": "active"}, 10
-    one.old.calls[-1].say(one.old.listing(False, indent), step, chunked)
-    assert [one.state(each) for each in ("s1", "s2", "s3", "s9")] == ["draining", "", "live", ""]
-    assert one.sent_to(1) == "10.1.0.3:9"
-
-
-def test_a_list_of_all_servers_that_may_be_is_read(monkeypatch, tmp_path: Path) -> None:
-    # Guards against a bound on an answer's header that takes the body in.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    one.old.index, one.old.states = 9, {f"s{number}-{'x' * 400}": "active" for number in range(1024)}
-    assert len(one.old.listing()) > 2 * MAX_HEADER_BYTES
-    one.old.calls[-1].say(one.old.listing(), 65_536)
-    assert len(one.relay.driver.balancer.servers) == 1024 and one.relay.discovery.index == 9
-
-
-@pytest.mark.parametrize("told", ["a reload", "a whole list without it", "a change"])
+    # A list must not be cut where a piece of it ends, and a server that a whole list lacks must not count as live.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    harness.old.states = {"s1": "leaving", "s2": "active"}
+    harness.old.index = 9
+    harness.old.calls[-1].reply(harness.old.listing(indent=indent), step, chunked)
+    assert [harness.state(server) for server in ("s0", "s1", "s2")] == ["", "draining", "live"]
+    assert harness.old.calls[-1].query.startswith("?after=9&"), "the watch did not continue at once"
+    harness.old.states, harness.old.index = {"s9": "left", "s2": "left", "s3": "active"}, 10
+    harness.old.calls[-1].reply(harness.old.listing(False, indent), step, chunked)
+    assert [harness.state(server) for server in ("s1", "s2", "s3", "s9")] == ["draining", "", "live", ""]
+    assert harness.attempt_address(1) == "10.1.0.3:9"
+
+
+def test_a_list_of_the_largest_permitted_number_of_servers_is_read(monkeypatch, tmp_path: Path) -> None:
+    # The limit on an answer's header must not count the body.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    harness.old.index, harness.old.states = 9, {f"s{number}-{'x' * 400}": "active" for number in range(1024)}
+    assert len(harness.old.listing()) > 2 * MAX_HEADER_BYTES
+    harness.old.calls[-1].reply(harness.old.listing(), 65_536)
+    assert len(harness.relay.driver.balancer.servers) == 1024 and harness.relay.discovery.index == 9
+
+
+@pytest.mark.parametrize("cause", ["a reload", "a whole list without it", "a change"])
 @pytest.mark.parametrize("pushed", [True, False])
-def test_a_connect_that_is_out_as_its_server_drains_is_withdrawn(
-    monkeypatch, tmp_path: Path, pushed: bool, told: str
+def test_a_pending_connect_is_withdrawn_when_its_server_drains(
+    monkeypatch, tmp_path: Path, pushed: bool, cause: str
 ) -> None:
-    # Guards against a first line that is written after the drain counts as told: its connect had begun before.
-    one = OneRelay(monkeypatch, tmp_path, pushed)
-    one.run(3)
+    # A connect that began before the drain must not lead to a first line after the drain is presumed known.
+    harness = RelayHarness(monkeypatch, tmp_path, pushed)
+    harness.run(3)
     numbers = iter(range(99))
-    while one.sent_to(next(numbers)) != "10.1.0.0:9":
-        one.run(1)
-    connect = one.net.dialled[-1]
-    if told == "a reload":
-        one.new.states["s0"] = "leaving"
-        one.reload()
-        one.net.pump([0.0] * 4)
-    elif told == "a change":
-        one.old.now_has(s0="leaving")
+    while harness.attempt_address(next(numbers)) != "10.1.0.0:9":
+        harness.run(1)
+    connect = harness.net.dialled[-1]
+    if cause == "a reload":
+        harness.new.states["s0"] = "leaving"
+        harness.reload()
+        harness.net.pump([0.0] * 4)
+    elif cause == "a change":
+        harness.old.change_servers(s0="leaving")
     else:
-        del one.old.states["s0"]
-        one.old.now_has()
+        del harness.old.states["s0"]
+        harness.old.change_servers()
     assert connect.address == "10.1.0.0:9" and connect.over and connect.wire is None, "its first line may still be sent"
-    assert one.net.dialled[-1].address != "10.1.0.0:9"
+    assert harness.net.dialled[-1].address != "10.1.0.0:9"
 
 
-def test_changes_of_a_list_that_went_back_are_taken_and_all_of_it_is_asked_for(monkeypatch, tmp_path: Path) -> None:
-    # Guards against a drain that was written to the relay and dropped with its version: the whole list may take its
-    # turn of some seconds, the change counts as told at once.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    one.old.index = 6
-    one.old.now_has()
-    one.old.mode, one.old.index, one.old.states = "held", 2, {"s0": "leaving"}
-    one.old.calls[-1].say(one.old.listing(False))
-    assert one.state("s0") == "draining" and one.old.calls[-1].query == "" and one.relay.discovery.index is None
+def test_changes_with_an_older_version_are_taken_and_the_whole_list_is_requested(monkeypatch, tmp_path: Path) -> None:
+    # A drain in such changes must not be dropped with their version: the call for the whole list may wait seconds for
+    # its turn, while the change is presumed known at once.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    harness.old.index = 6
+    harness.old.change_servers()
+    harness.old.mode, harness.old.index, harness.old.states = "held", 2, {"s0": "leaving"}
+    harness.old.calls[-1].reply(harness.old.listing(False))
+    assert (
+        harness.state("s0") == "draining"
+        and harness.old.calls[-1].query == ""
+        and harness.relay.discovery.index is None
+    )
 
 
 ENDLESS = {
@@ -270,67 +284,69 @@
 
 
 @pytest.mark.parametrize("kind", ENDLESS)
-def test_an_endless_header_is_bounded_in_bytes(
+def test_an_endless_header_is_limited_in_bytes(
     monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, kind: str
 ) -> None:
-    # Guards against a header that fills the memory up to the end of its call's time.
+    # A header must not fill the memory until its call times out.
     caplog.set_level(logging.INFO)
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    told = [each for each in caplog.records if each.name == "scaledeal.discovery"]
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    earlier = [record for record in caplog.records if record.name == "scaledeal.discovery"]
     for _ in range(2):
-        wire, sent = one.old.calls[-1].wire, 0
+        connection, sent = harness.old.calls[-1].connection, 0
         first, more = ENDLESS[kind]
-        wire.receive(first)
-        while not (wire.lost or wire.aborted) and sent < 2 * MAX_HEADER_BYTES:
-            wire.receive(more)
+        connection.receive(first)
+        while not (connection.lost or connection.aborted) and sent < 2 * MAX_HEADER_BYTES:
+            connection.receive(more)
             sent += len(more)
-            one.net.advance(0)
+            harness.net.advance(0)
         assert sent <= MAX_HEADER_BYTES + 2000, f"{sent} bytes of a header were read"
-        one.run(0.1)
-        assert wire.lost
-        one.old.mode = "held"
-        calls = len(one.old.calls)
-        while len(one.old.calls) == calls and one.net.seconds() < 1020:
-            one.run(0.1)
-    assert one.relay.discovery.times.failures == 2
-    lines = [each.message for each in caplog.records if each.name == "scaledeal.discovery"][len(told) :]
+        harness.run(0.1)
+        assert connection.lost
+        harness.old.mode = "held"
+        calls = len(harness.old.calls)
+        while len(harness.old.calls) == calls and harness.net.seconds() < 1020:
+            harness.run(0.1)
+    assert harness.relay.discovery.times.failures == 2
+    lines = [record.message for record in caplog.records if record.name == "scaledeal.discovery"][len(earlier) :]
     assert len(lines) == 1, lines
     if kind != "one line":
-        assert HEADER_TOO_LONG in lines[0] and one.relay.driver.balancer.watch_failures == 0, "discovery is there"
-    one.old.now_has(s0="leaving")
-    one.old.calls[-1].say(one.old.listing())
-    assert one.state("s0") == "draining"
-
-
-def test_a_fault_of_the_relay_on_a_list_does_not_end_its_watch(monkeypatch, tmp_path: Path) -> None:
-    # Guards against one exception after which nothing of discovery is ever heard again.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
+        assert HEADER_TOO_LONG in lines[0] and harness.relay.driver.balancer.watch_failures == 0, (
+            "discovery counted as lost"
+        )
+    harness.old.change_servers(s0="leaving")
+    harness.old.calls[-1].reply(harness.old.listing())
+    assert harness.state("s0") == "draining"
+
+
+def test_an_exception_while_a_list_is_processed_does_not_end_the_watch(monkeypatch, tmp_path: Path) -> None:
+    # Otherwise one exception would cut the relay off from discovery for good.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
     with monkeypatch.context() as broken:
-        broken.setattr(one.relay.catalog, "read", lambda *_: 1 / 0)
-        one.old.now_has(s0="leaving")
-    one.run(1.2)
-    assert one.state("s0") == "draining"
+        broken.setattr(harness.relay.catalog, "read", lambda *_: 1 / 0)
+        harness.old.change_servers(s0="leaving")
+    harness.run(1.2)
+    assert harness.state("s0") == "draining"
 
 
 @pytest.mark.parametrize(
     "body", [b'{"index":9,"x":' + b"[" * 200_000, b'{"index":9,"endpoints":[{"name":"s0","since_ms":1e400}]}']
 )
-def test_an_answer_that_cannot_be_decoded_is_asked_for_again(
+def test_an_answer_that_cannot_be_decoded_is_requested_again(
     monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, body: bytes
 ) -> None:
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    one.old.calls[-1].say(body)
-    one.old.index, one.old.states = 9, {"s0": "leaving"}
-    one.run(1.2)
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    harness.old.calls[-1].reply(body)
+    harness.old.index, harness.old.states = 9, {"s0": "leaving"}
+    harness.run(1.2)
     assert "answer not understood" in caplog.text and "could not be processed" not in caplog.text
-    assert one.state("s0") == "draining" and one.relay.discovery.index == 9
+    assert harness.state("s0") == "draining" and harness.relay.discovery.index == 9
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "malformed",
     [
         b'{"name":"s1","status":"gone"}',
         b'{"name":"s1","since_ms":null}',
@@ -340,18 +356,20 @@
         b"7",
     ],
 )
-def test_an_entry_that_cannot_be_read_hides_no_other(
-    monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, odd: bytes
+def test_a_malformed_entry_does_not_hide_the_others(
+    monkeypatch, tmp_path: Path, caplog: pytest.LogCaptureFixture, malformed: bytes
 ) -> None:
-    # Guards against one such entry that keeps a whole fleet from hearing of drains, for as long as it is listed.
-    one = OneRelay(monkeypatch, tmp_path, False)
-    one.run(2)
-    one.old.mode = "held"
-    for index, server in ((8, "s0"), (9, "s2")):
-        entry = b'{"name":"%s","address":"10.1.0.2:9","status":"leaving"}' % server.encode()
-        one.old.calls[-1].say(b'{"index":%d,"endpoints":[%s,%s]}' % (index, odd, entry))
-        one.run(1.2)
-    assert [one.state(each) for each in ("s0", "s1", "s2")] == ["draining", "live", "draining"]
-    said = [each.getMessage() for each in caplog.records]
-    assert len(said) == 1 and "answer not understood" in said[0], said
-    assert one.relay.discovery.index == 1 and one.old.calls[-1].query == "?after=1&wait_ms=0", "asked again"
+    # Otherwise one malformed entry would keep a whole fleet from learning of drains for as long as it is listed.
+    harness = RelayHarness(monkeypatch, tmp_path, False)
+    harness.run(2)
+    harness.old.mode = "held"
+    for index, drained in ((8, "s0"), (9, "s2")):
+        entry = b'{"name":"%s","address":"10.1.0.2:9","status":"leaving"}' % drained.encode()
+        harness.old.calls[-1].reply(b'{"index":%d,"endpoints":[%s,%s]}' % (index, malformed, entry))
+        harness.run(1.2)
+    assert [harness.state(server) for server in ("s0", "s1", "s2")] == ["draining", "live", "draining"]
+    messages = [record.getMessage() for record in caplog.records]
+    assert len(messages) == 1 and "answer not understood" in messages[0], messages
+    assert harness.relay.discovery.index == 1 and harness.old.calls[-1].query == "?after=1&wait_ms=0", (
+        "the call was not repeated"
+    )
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""What a fleet hears of a drain, and when: 230 relays and one discovery that takes calls in turn, in simulated time."""
+"""How soon a fleet learns of a drain: 230 relays and one discovery that takes calls in turn, in simulated time."""
 
 from __future__ import annotations
 
@@ -27,107 +27,115 @@
     WatchTimes,
 )
 
-RELAYS, ASK_WITHIN, GRACE = 230, 10.0, 1.0
-WINDOW = GRACE + 0.05  # the rule on sockets, in seconds
+RELAYS = 230
+ASK_WITHIN_S = 10.0
+DRAIN_GRACE_S = 1.0
+DRAIN_WINDOW_S = DRAIN_GRACE_S + 0.05  # time after which nothing may be sent to a draining server
 ENTRY = '{"name":"s","address":"127.0.0.1:1","status":"%s"}'
 
 
-class Discovery:
-    """One service: a new watch takes its turn, a watch that goes on costs nothing; or an agent, free and at once."""
+class FakeDiscovery:
+    """Discovery as one service, where a new watch takes its turn and a continued one costs nothing; or an agent.
 
-    def __init__(self, clock: Clock, all_call: float, queue: float, relays: int = RELAYS) -> None:
-        self.clock, self.cost, self.queue = clock, all_call / relays, queue
-        self.free, self.version, self.drains, self.turns = 0.0, 1, False, 0
-        self.down = ""  # what becomes of calls: they are "silent", "refused", or "lost" on the way
-        self.heard: dict[int, float] = {}  # when each caller was last answered
-        self.told: dict[int, float] = {}  # when what each caller missed counts as told
-        self.open: dict[int, tuple[Deferred[Any], float, float]] = {}  # each open watch, its start and wait
+    An agent answers at once and without cost: ``fleet_cost`` is 0. Else that is the seconds for a call of each relay,
+    and ``max_queue`` the seconds that a call may wait for its turn before it is refused.
+    """
 
-    def request(self, who: int, query: str) -> Deferred[Any]:
+    def __init__(self, clock: Clock, fleet_cost: float, max_queue: float, relays: int = RELAYS) -> None:
+        self.clock, self.call_cost, self.max_queue = clock, fleet_cost / relays, max_queue
+        self.free_at, self.version, self.draining, self.turns = 0.0, 1, False, 0
+        self.failure = ""  # how calls fail: "silent", "refused", or "lost" on the way; "" where they don't
+        self.answered_at: dict[int, float] = {}  # when each caller was last answered
+        self.presumed_at: dict[int, float] = {}  # when the change that each caller missed is presumed known
+        self.open_watches: dict[int, tuple[Deferred[Any], float, float]] = {}  # by caller: call, start and wait
+
+    def request(self, caller: int, query: str) -> Deferred[Any]:
         call: Deferred[Any] = Deferred(lambda _: None)
         after, _, wait = query.partition("&wait_ms=")
-        waits = int(wait or 0) / 1000
-        if self.down:
-            if self.down != "silent":
-                why = ConnectionRefusedError("refused") if self.down == "refused" else TimeoutError("lost")
-                self.clock.callLater(0.001 if self.down == "refused" else CONNECT_TIMEOUT_S, call.errback, why)
+        wait_s = int(wait or 0) / 1000
+        if self.failure:
+            if self.failure != "silent":
+                reason = ConnectionRefusedError("refused") if self.failure == "refused" else TimeoutError("lost")
+                self.clock.callLater(0.001 if self.failure == "refused" else CONNECT_TIMEOUT_S, call.errback, reason)
             return call
-        if self.cost and self.clock.seconds() - self.heard.get(who, -9.0) > 0.2:
-            start = max(self.clock.seconds(), self.free)
+        if self.call_cost and self.clock.seconds() - self.answered_at.get(caller, -9.0) > 0.2:
+            start = max(self.clock.seconds(), self.free_at)
             self.turns += 1
-            if start - self.clock.seconds() > self.queue:
+            if start - self.clock.seconds() > self.max_queue:
                 self.clock.callLater(0.1, self.reply, call, 503)
                 return call
-            self.free = start + self.cost
-            self.clock.callLater(self.free - self.clock.seconds(), self.answer, who, call, after, waits)
+            self.free_at = start + self.call_cost
+            self.clock.callLater(self.free_at - self.clock.seconds(), self.answer, caller, call, after, wait_s)
         else:
-            self.answer(who, call, after, waits)
+            self.answer(caller, call, after, wait_s)
         return call
 
-    def answer(self, who: int, call: Deferred[Any], after: str, waits: float) -> None:
-        if self.down:
-            return  # guards against an answer of a discovery that went down in the meantime
-        if waits and after == f"?after={self.version}":
-            self.open[who] = (call, self.clock.seconds(), waits)
-            self.clock.callLater(waits, self.wait_over, who, call)
+    def answer(self, caller: int, call: Deferred[Any], after: str, wait_s: float) -> None:
+        if self.failure:
+            return  # it has gone down since the call was made
+        if wait_s and after == f"?after={self.version}":
+            self.open_watches[caller] = (call, self.clock.seconds(), wait_s)
+            self.clock.callLater(wait_s, self.wait_over, caller, call)
         else:
-            self.heard[who] = self.clock.seconds()
+            self.answered_at[caller] = self.clock.seconds()
             self.clock.callLater(0.001, self.reply, call, 200)
 
-    def wait_over(self, who: int, call: Deferred[Any]) -> None:
-        if self.open.get(who, (None,))[0] is call:
-            del self.open[who]
-            self.heard[who] = self.clock.seconds()
+    def wait_over(self, caller: int, call: Deferred[Any]) -> None:
+        if self.open_watches.get(caller, (None,))[0] is call:
+            del self.open_watches[caller]
+            self.answered_at[caller] = self.clock.seconds()
             self.reply(call, 200, f'{{"index":{self.version},"snapshot":false,"endpoints":[]}}'.encode())
 
     def reply(self, call: Deferred[Any], code: int, body: bytes = b"") -> None:
-        state = "leaving" if self.drains else "active"
+        state = "leaving" if self.draining else "active"
         listed = f'{{"index":{self.version},"snapshot":true,"endpoints":[{ENTRY % state}]}}'
         if not call.called:
             call.callback(SimpleNamespace(code=code, body=body or listed.encode()))
 
-    def news(self) -> None:
-        """Answer all open watches with a new version: from here on all are in step."""
+    def publish(self) -> None:
+        """Answer all open watches with a new version, after which all relays call in step."""
         self.version += 1
-        waiting, self.open = self.open, {}
-        for who, (call, _, _) in waiting.items():
-            self.answer(who, call, "", 0.0)
+        waiting, self.open_watches = self.open_watches, {}
+        for caller, (call, _, _) in waiting.items():
+            self.answer(caller, call, "", 0.0)
 
-    def silence(self) -> None:
-        """Have all open watches fall silent, and a server begin to drain."""
+    def silence_watches(self) -> None:
+        """Stop answering the watches that are open, and have a server begin to drain."""
         now = self.clock.seconds()
-        for who, (_, start, waits) in self.open.items():
-            self.told[who] = max(now + PRESUMED_KNOWN_S, start + waits + PRESUMED_KNOWN_AFTER_WAIT_S)
-        self.open.clear()
+        for caller, (_, start, wait_s) in self.open_watches.items():
+            self.presumed_at[caller] = max(now + PRESUMED_KNOWN_S, start + wait_s + PRESUMED_KNOWN_AFTER_WAIT_S)
+        self.open_watches.clear()
         self.drain()
 
     def drain(self) -> None:
-        """Have a server begin to drain, heard of by nobody yet."""
+        """Have a server begin to drain, without telling any relay."""
         self.version += 1
-        self.drains = True
+        self.draining = True
 
-    def reset(self) -> None:
-        """Break all open watches."""
-        broken, self.open = self.open, {}
+    def break_watches(self) -> None:
+        """Break the connections of all open watches."""
+        broken, self.open_watches = self.open_watches, {}
         for call, _, _ in broken.values():
             call.errback(ConnectionError("reset"))
 
 
 class Fleet:
+    """Relays with the same discovery, started ``step`` seconds apart; those with agents at once."""
+
     def __init__(
         self,
         monkeypatch: pytest.MonkeyPatch,
         pushed: bool,
-        all_call: float,
-        queue: float,
+        fleet_cost: float,
+        max_queue: float,
         relays: int = RELAYS,
         step: float = 0.0,
     ) -> None:
-        monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
+        monkeypatch.setattr(discovery_watch, "read_body", lambda response, max_bytes: succeed(response.body))
         self.clock = Clock()
         self.clock.advance(1000)
-        self.discovery = Discovery(self.clock, 0.0 if pushed else all_call, queue, relays)
-        self.late: dict[int, float] = {}  # when each relay's module was told of the drain
+        self.discovery = FakeDiscovery(self.clock, 0.0 if pushed else fleet_cost, max_queue, relays)
+        self.learned_at: dict[int, float] = {}  # when each relay's decision module learned of the drain
         self.watches = [self.relay(number, relays, pushed, step) for number in range(relays)]
 
     def relay(self, me: int, relays: int, pushed: bool, step: float) -> discovery_watch.DiscoveryWatch:
@@ -136,38 +144,40 @@
         )
         driver = Driver(self.clock, settings, me, Figures(("c",)), lambda: int(self.clock.seconds() * 1e9))
 
-        def listed(event: api.Membership, addresses: dict[str, str]) -> None:
+        def report(event: api.Membership, addresses: dict[str, str]) -> None:
             if any(entry.state is api.ServerState.DRAINING for entry in event.servers):
-                self.late.setdefault(me, self.clock.seconds())
+                self.learned_at.setdefault(me, self.clock.seconds())
             driver.listed(event, addresses)
 
-        made = self.watch(me, pushed, listed)
-        driver.watch = made.watch
+        watch = self.watch(me, pushed, report)
+        driver.watch = watch.watch
         if pushed:
-            made.watch()
+            watch.watch()
         else:
             self.clock.callLater(me * step, driver.listed, api.Membership(api.MembershipKind.INITIAL), {})
-        return made
+        return watch
 
-    def watch(self, me: int, pushed: bool, tell: discovery_watch.MembershipCallback) -> discovery_watch.DiscoveryWatch:
-        made = discovery_watch.DiscoveryWatch(
+    def watch(
+        self, me: int, pushed: bool, report: discovery_watch.MembershipCallback
+    ) -> discovery_watch.DiscoveryWatch:
+        watch = discovery_watch.DiscoveryWatch(
             self.clock,
             "h",
             1,
             Catalog((), UnixTimeConverter(0)),
-            tell,  # type: ignore[arg-type]
-            WatchTimes(pushed, ASK_WITHIN, GRACE, me * GOLDEN_RATIO % 1),
+            report,  # type: ignore[arg-type]
+            WatchTimes(pushed, ASK_WITHIN_S, DRAIN_GRACE_S, me * GOLDEN_RATIO % 1),
             self.clock.seconds,
         )
-        made.http_agent = SimpleNamespace(
+        watch.http_agent = SimpleNamespace(
             request=lambda _, url: self.discovery.request(me, url.decode().partition("members")[2])
         )
-        return made
+        return watch
 
     def reload(self, pushed: bool) -> None:
-        """Have every relay go over to another discovery, as a new configuration tells them in one moment."""
+        """Have all relays change to another discovery in one moment, as after a new configuration."""
         old = self.discovery
-        self.discovery = Discovery(self.clock, old.cost * len(self.watches), old.queue, len(self.watches))
+        self.discovery = FakeDiscovery(self.clock, old.call_cost * len(self.watches), old.max_queue, len(self.watches))
         for me, watch in enumerate(self.watches):
             watch.close()
             self.watches[me] = self.watch(me, pushed, watch.report)
@@ -177,161 +187,168 @@
         self.clock.pump([step] * int(seconds / step))
 
 
-@pytest.mark.parametrize("all_call,queue,after", [(8.0, 3.0, 12.0), (9.0, 1.0, 21.3)])
-def test_all_hear_of_a_drain_in_time_when_every_watch_falls_silent(monkeypatch, all_call, queue, after):
-    # Guards against a watch that is noticed as silent, or asked for anew by all at once, after the drain binds.
-    fleet = Fleet(monkeypatch, False, all_call, queue)
+@pytest.mark.parametrize("fleet_cost,max_queue,after", [(8.0, 3.0, 12.0), (9.0, 1.0, 21.3)])
+def test_all_learn_of_a_drain_in_time_when_every_watch_goes_silent(monkeypatch, fleet_cost, max_queue, after):
+    # A silent watch must be noticed before the drain binds, and all relays must not reopen theirs in one moment.
+    fleet = Fleet(monkeypatch, False, fleet_cost, max_queue)
     fleet.run(after)
-    assert len(fleet.discovery.open) == RELAYS, "all watch"
-    fleet.discovery.news()
+    assert len(fleet.discovery.open_watches) == RELAYS, "not all relays watch"
+    fleet.discovery.publish()
     fleet.run(1)
     before = fleet.discovery.turns
-    fleet.discovery.silence()
-    fleet.run(ASK_WITHIN + PRESUMED_KNOWN_S + 2)
-    assert len(fleet.late) == RELAYS
-    worst = max(fleet.late[who] - told for who, told in fleet.discovery.told.items())
-    assert worst <= WINDOW, f"a relay heard {worst:.2f} s after the news counted as told"
-    assert fleet.discovery.turns - before <= 1.1 * RELAYS, "calls of the fleet that took a turn at discovery"
-
-
-def started(monkeypatch: pytest.MonkeyPatch, relays: int, all_call: float, queue: float, step: float) -> Fleet:
-    """Return a fleet of which all watch, its relays started so far apart that discovery refused none."""
-    fleet = Fleet(monkeypatch, False, all_call, queue, relays, step)
-    fleet.run(step * relays + all_call + 3.37)
-    assert len(fleet.discovery.open) == relays, "all watch"
+    fleet.discovery.silence_watches()
+    fleet.run(ASK_WITHIN_S + PRESUMED_KNOWN_S + 2)
+    assert len(fleet.learned_at) == RELAYS
+    worst = max(fleet.learned_at[caller] - presumed for caller, presumed in fleet.discovery.presumed_at.items())
+    assert worst <= DRAIN_WINDOW_S, f"a relay learned of the drain {worst:.2f} s after that was presumed"
+    assert fleet.discovery.turns - before <= 1.1 * RELAYS, "too many calls that took a turn at discovery"
+
+
+def started_fleet(
+    monkeypatch: pytest.MonkeyPatch, relays: int, fleet_cost: float, max_queue: float, step: float
+) -> Fleet:
+    """Return a fleet whose relays all watch, started ``step`` seconds apart so that discovery refused none."""
+    fleet = Fleet(monkeypatch, False, fleet_cost, max_queue, relays, step)
+    fleet.run(step * relays + fleet_cost + 3.37)
+    assert len(fleet.discovery.open_watches) == relays, "not all relays watch"
     return fleet
 
 
-def worst_after(fleet: Fleet, moment: float) -> float:
-    """Run on, and return how long after the moment the last relay's module was told of the drain."""
-    while len(fleet.late) < len(fleet.watches) and fleet.clock.seconds() < moment + 30:
+def worst_delay_after(fleet: Fleet, moment: float) -> float:
+    """Run until all relays know of the drain; return how long after the moment the last one learned of it."""
+    while len(fleet.learned_at) < len(fleet.watches) and fleet.clock.seconds() < moment + 30:
         fleet.run(1)
-    assert len(fleet.late) == len(fleet.watches), "not all have heard"
-    return max(fleet.late.values()) - moment
+    assert len(fleet.learned_at) == len(fleet.watches), "not all relays know of the drain"
+    return max(fleet.learned_at.values()) - moment
 
 
-@pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (30, 6.0, 3.0), (230, 5.6, 1.0)])
-def test_what_discovery_had_is_heard_of_in_time_though_every_watch_fell_silent_just_before(
-    monkeypatch, relays, all_call, queue
+@pytest.mark.parametrize("relays,fleet_cost,max_queue", [(6, 4.6, 3.0), (30, 6.0, 3.0), (230, 5.6, 1.0)])
+def test_a_drain_is_learned_in_time_though_every_watch_went_silent_just_before(
+    monkeypatch, relays, fleet_cost, max_queue
 ):
-    # Guards against a wait longer than the age at which a change counts as told: it was up to 14 s.
-    fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
-    fleet.discovery.silence()
-    had = fleet.clock.seconds()
-    assert worst_after(fleet, had) <= PRESUMED_KNOWN_S + WINDOW
+    # A wait must not be longer than the time after which a change is presumed known: it used to be up to 14 s.
+    fleet = started_fleet(monkeypatch, relays, fleet_cost, max_queue, 1.3 * fleet_cost / relays)
+    fleet.discovery.silence_watches()
+    begun = fleet.clock.seconds()
+    assert worst_delay_after(fleet, begun) <= PRESUMED_KNOWN_S + DRAIN_WINDOW_S
 
 
-@pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
-def test_all_hear_in_time_of_a_drain_as_all_watches_are_reset(monkeypatch, relays, all_call, queue):
-    # Guards against relays that were refused for want of time and back off: the last one heard after 10.6 s.
-    fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
+@pytest.mark.parametrize("relays,fleet_cost,max_queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
+def test_all_learn_of_a_drain_in_time_when_all_watches_are_reset(monkeypatch, relays, fleet_cost, max_queue):
+    # Relays that discovery refused as busy must not back off: with back-off the last one learned of it after 10.6 s.
+    fleet = started_fleet(monkeypatch, relays, fleet_cost, max_queue, 1.3 * fleet_cost / relays)
     fleet.discovery.drain()
-    fleet.discovery.reset()
-    assert worst_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + WINDOW
+    fleet.discovery.break_watches()
+    assert worst_delay_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + DRAIN_WINDOW_S
 
 
-@pytest.mark.parametrize("how", ["silent", "refused", "lost"])
+@pytest.mark.parametrize("failure", ["silent", "refused", "lost"])
 @pytest.mark.parametrize("away", [0.9, 8.0, 21.7])
-@pytest.mark.parametrize("relays,all_call", [(6, 4.6), (40, 6.0)])
-def test_all_hear_in_time_of_a_drain_once_discovery_is_back(monkeypatch, relays, all_call, how, away):
-    # Guards against a pause after failed calls that outlasts the time within which news counts as told.
-    back_again(monkeypatch, relays, all_call, how, away)
-
-
-@pytest.mark.parametrize("how", ["silent", "refused", "lost"])
-def test_a_fleet_of_hundreds_hears_in_time_once_discovery_is_back(monkeypatch, how):
-    back_again(monkeypatch, RELAYS, 6.0, how, 8.0)
-
-
-def back_again(monkeypatch: pytest.MonkeyPatch, relays: int, all_call: float, how: str, away: float) -> None:
-    fleet = started(monkeypatch, relays, all_call, 3.0, 1.3 * all_call / relays)
-    fleet.discovery.down = how
-    fleet.discovery.reset()
-    fleet.run(away)
-    fleet.discovery.down, fleet.discovery.free = "", fleet.clock.seconds()
+@pytest.mark.parametrize("relays,fleet_cost", [(6, 4.6), (40, 6.0)])
+def test_all_learn_of_a_drain_in_time_once_discovery_is_back(monkeypatch, relays, fleet_cost, failure, away):
+    # The pause after failed calls must not be longer than the time after which a change is presumed known.
+    check_learned_after_outage(monkeypatch, relays, fleet_cost, failure, away)
+
+
+@pytest.mark.parametrize("failure", ["silent", "refused", "lost"])
+def test_a_fleet_of_hundreds_learns_in_time_once_discovery_is_back(monkeypatch, failure):
+    check_learned_after_outage(monkeypatch, RELAYS, 6.0, failure, 8.0)
+
+
+def check_learned_after_outage(
+    monkeypatch: pytest.MonkeyPatch, relays: int, fleet_cost: float, failure: str, outage: float
+) -> None:
+    """Let discovery fail for ``outage`` seconds, then have a server drain."""
+    fleet = started_fleet(monkeypatch, relays, fleet_cost, 3.0, 1.3 * fleet_cost / relays)
+    fleet.discovery.failure = failure
+    fleet.discovery.break_watches()
+    fleet.run(outage)
+    fleet.discovery.failure, fleet.discovery.free_at = "", fleet.clock.seconds()
     fleet.discovery.drain()
-    assert worst_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + WINDOW
+    assert worst_delay_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + DRAIN_WINDOW_S
 
 
 @pytest.mark.parametrize("moment", ["13 s in", "in the last moment of a wait", "as a wait begins"])
 @pytest.mark.parametrize("then", ["answers", "refused", "silent"])
 @pytest.mark.parametrize(
-    "pushed,relays,all_call,queue", [(True, 5, 0.0, 0.0), (False, 6, 4.6, 3.0), (False, 40, 6.0, 1.0)]
+    "pushed,relays,fleet_cost,max_queue", [(True, 5, 0.0, 0.0), (False, 6, 4.6, 3.0), (False, 40, 6.0, 1.0)]
 )
-def test_all_hear_in_time_where_watches_fall_silent_late(monkeypatch, pushed, relays, all_call, queue, then, moment):
-    # Guards against a watch whose silence is noticed only after its next wait, and against a call that makes good for
-    # it lost as well: discovery or the agent is away for the 3 s that follow.
+def test_all_learn_in_time_where_watches_go_silent_late(
+    monkeypatch, pushed, relays, fleet_cost, max_queue, then, moment
+):
+    # A silent watch must be noticed before another wait is over. The call that replaces it may be lost as well, as
+    # discovery or the agent is unavailable for the next 3 s.
     fleet = (
         Fleet(monkeypatch, True, 0.0, 0.0, relays)
         if pushed
-        else started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
+        else started_fleet(monkeypatch, relays, fleet_cost, max_queue, 1.3 * fleet_cost / relays)
     )
     fleet.run(1000 + 13 - fleet.clock.seconds() if fleet.clock.seconds() < 1013 else 13)
     if moment != "13 s in":
-        _, start, waits = min(fleet.discovery.open.values(), key=lambda call: call[1] + call[2])
-        fleet.run(start + waits - fleet.clock.seconds() + (-0.004 if "last" in moment else 0.004), 0.001)
-    assert len(fleet.discovery.open) >= relays - 1, "all watch"
-    fleet.discovery.silence()
-    had = fleet.clock.seconds()
+        _, start, wait_s = min(fleet.discovery.open_watches.values(), key=lambda call: call[1] + call[2])
+        fleet.run(start + wait_s - fleet.clock.seconds() + (-0.004 if "last" in moment else 0.004), 0.001)
+    assert len(fleet.discovery.open_watches) >= relays - 1, "not all relays watch"
+    fleet.discovery.silence_watches()
+    begun = fleet.clock.seconds()
     if then != "answers":
-        fleet.discovery.down = then
+        fleet.discovery.failure = then
         fleet.run(3)
-        fleet.discovery.down, fleet.discovery.free = "", fleet.clock.seconds()
-    # What is missed counts as told 6 s after discovery had it and could be reached: from its return on. What an agent
-    # gets at its return counts at once.
-    reached = had if then == "answers" else fleet.clock.seconds()
+        fleet.discovery.failure, fleet.discovery.free_at = "", fleet.clock.seconds()
+    # A missed change is presumed known 6 s after discovery had it and could be reached, so after its return. A change
+    # that an agent gets at its return is presumed known at once.
+    reached = begun if then == "answers" else fleet.clock.seconds()
     at_once = pushed and then != "answers"
-    assert worst_after(fleet, reached) <= (0.0 if at_once else PRESUMED_KNOWN_S) + WINDOW
+    assert worst_delay_after(fleet, reached) <= (0.0 if at_once else PRESUMED_KNOWN_S) + DRAIN_WINDOW_S
 
 
-@pytest.mark.parametrize("relays,all_call,queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
-def test_a_fleet_that_is_told_of_another_discovery_in_one_moment_hears_of_drains_there_in_time(
-    monkeypatch, relays, all_call, queue
+@pytest.mark.parametrize("relays,fleet_cost,max_queue", [(6, 4.6, 3.0), (40, 6.0, 1.0), (230, 6.0, 3.0)])
+def test_a_fleet_that_changes_to_another_discovery_in_one_moment_learns_of_drains_there_in_time(
+    monkeypatch, relays, fleet_cost, max_queue
 ):
-    fleet = started(monkeypatch, relays, all_call, queue, 1.3 * all_call / relays)
+    fleet = started_fleet(monkeypatch, relays, fleet_cost, max_queue, 1.3 * fleet_cost / relays)
     fleet.reload(False)
     fleet.discovery.drain()
-    assert worst_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + WINDOW
+    assert worst_delay_after(fleet, fleet.clock.seconds()) <= PRESUMED_KNOWN_S + DRAIN_WINDOW_S
 
 
-def test_who_was_refused_for_want_of_time_asks_again_within_a_second_however_often(monkeypatch):
-    fleet = started(monkeypatch, 1, 0.5, 3.0, 1.0)
+def test_a_relay_that_is_refused_as_busy_calls_again_within_a_second_however_often(monkeypatch):
+    fleet = started_fleet(monkeypatch, 1, 0.5, 3.0, 1.0)
     discovery = fleet.discovery
-    discovery.free = fleet.clock.seconds() + 25.0  # more than it lets anybody wait
+    discovery.free_at = fleet.clock.seconds() + 25.0  # longer than any call may wait for its turn
     discovery.drain()
-    discovery.reset()
+    discovery.break_watches()
     before = discovery.turns
     fleet.run(21.9)
     refused = discovery.turns - before
-    assert 20 <= refused <= 45 and not fleet.late, f"{refused} calls in 22 s of refusals"
+    assert 20 <= refused <= 45 and not fleet.learned_at, f"{refused} calls in 22 s of refusals"
     fleet.run(1.0)
-    assert discovery.turns > before + refused, "asked again within a second"
+    assert discovery.turns > before + refused, "not called again within a second"
     fleet.run(3.5)
-    assert fleet.late, "heard as soon as there was time"
+    assert fleet.learned_at, "the drain was not learned as soon as discovery had time"
 
 
-def test_an_agent_that_falls_silent_or_is_away_is_heard_of_in_time(monkeypatch):
-    # Guards against an agent's list that counts as told while the relay waits before it asks again.
+def test_the_news_of_an_agent_that_was_silent_or_away_is_learned_in_time(monkeypatch):
+    # The pause before the next call must end before an agent's list is presumed known.
     fleet = Fleet(monkeypatch, True, 0.0, 0.0, relays=5)
     fleet.run(7.3)
-    fleet.discovery.silence()
+    fleet.discovery.silence_watches()
     fleet.run(4)
-    assert max(fleet.late[who] - told for who, told in fleet.discovery.told.items()) < 0
+    assert max(fleet.learned_at[caller] - presumed for caller, presumed in fleet.discovery.presumed_at.items()) < 0
     fleet = Fleet(monkeypatch, True, 0.0, 0.0, relays=5)
     for away in (0.7, 3.1, 8.0):
         fleet.run(3.3)
-        fleet.discovery.down, fleet.discovery.open, fleet.late = "silent", {}, {}
+        fleet.discovery.failure, fleet.discovery.open_watches, fleet.learned_at = "silent", {}, {}
         fleet.run(away)
-        fleet.discovery.down = ""
-        fleet.discovery.silence()
+        fleet.discovery.failure = ""
+        fleet.discovery.silence_watches()
         back = fleet.clock.seconds()
         fleet.run(PRESUMED_KNOWN_S)
-        first_told = back if away > PRESUMED_KNOWN_S else back - away + PRESUMED_KNOWN_S
-        assert max(fleet.late.values()) - first_told <= WINDOW, f"away for {away} s"
+        presumed_known = back if away > PRESUMED_KNOWN_S else back - away + PRESUMED_KNOWN_S
+        assert max(fleet.learned_at.values()) - presumed_known <= DRAIN_WINDOW_S, f"away for {away} s"
 
 
 @pytest.mark.parametrize(
-    "body,why",
+    "body,logged",
     [
         (b'{"index":5,"endpoi', "truncated"),
         (b'{"index":5,"endpoints":[{"name":"s","status":"gone"}]}', "status"),
@@ -339,86 +356,86 @@
         (None, "did not end"),
     ],
 )
-def test_a_bad_answer_is_told_and_the_list_stays_and_is_asked_for_again(monkeypatch, caplog, body, why):
-    # Guards against an answer cut short, malformed or without an end: told with its place, and asked for again.
+def test_a_bad_answer_is_logged_and_the_list_is_kept_and_requested_again(monkeypatch, caplog, body, logged):
+    # An answer that is truncated, malformed or endless is logged with its place, and the call is repeated.
     caplog.set_level(logging.WARNING)
     fleet = Fleet(monkeypatch, False, 0.01, 3.0, relays=1)
     fleet.run(3)
-    watch, call = fleet.watches[0], fleet.discovery.open.pop(0)[0]
+    watch, call = fleet.watches[0], fleet.discovery.open_watches.pop(0)[0]
     if body is None:
-        monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: Deferred(lambda _: None))
-    fleet.discovery.silence()
+        monkeypatch.setattr(discovery_watch, "read_body", lambda response, max_bytes: Deferred(lambda _: None))
+    fleet.discovery.silence_watches()
     fleet.discovery.reply(call, 200, body or b"x")
-    monkeypatch.setattr(discovery_watch, "read_body", lambda response, most: succeed(response.body))
+    monkeypatch.setattr(discovery_watch, "read_body", lambda response, max_bytes: succeed(response.body))
     assert watch.index == 1
     fleet.run(3)
-    assert why in caplog.text
-    assert watch.index == 2 and 0 in fleet.late
+    assert logged in caplog.text
+    assert watch.index == 2 and 0 in fleet.learned_at
 
 
 class Response:
-    """An answer whose bytes come as the test gives them."""
+    """An answer whose body the test delivers piece by piece."""
 
     def __init__(self, code: int = 200) -> None:
-        self.code, self.ended = code, False
+        self.code, self.closed = code, False
         self.body: Any = None
 
     def deliverBody(self, body: Any) -> None:
         self.body = body
-        body.makeConnection(SimpleNamespace(loseConnection=self.end))
+        body.makeConnection(SimpleNamespace(loseConnection=self.close))
 
-    def end(self) -> None:
-        self.ended = True
+    def close(self) -> None:
+        self.closed = True
 
 
 @pytest.mark.parametrize("code", [200, 503])
-def test_an_answer_without_an_end_is_bounded_in_time_and_in_bytes(caplog, code):
-    # Guards against a list that is read for ever: into the memory, or in place of the next call.
-    clock, out, told = Clock(), [], []
-    made = discovery_watch.DiscoveryWatch(
+def test_an_endless_answer_is_limited_in_time_and_in_bytes(caplog, code):
+    # An endless list must neither fill the memory nor hold up the next call.
+    clock, calls_made, reported = Clock(), [], []
+    watch = discovery_watch.DiscoveryWatch(
         clock,
         "h",
         1,
         Catalog((), UnixTimeConverter(0)),
-        lambda event, _: told.append(event.kind),  # type: ignore[arg-type]
-        WatchTimes(False, ASK_WITHIN, GRACE, 0.3),
+        lambda event, _: reported.append(event.kind),  # type: ignore[arg-type]
+        WatchTimes(False, ASK_WITHIN_S, DRAIN_GRACE_S, 0.3),
         clock.seconds,
     )
     calls = iter([Deferred(lambda _: None) for _ in range(9)])
-    made.http_agent = SimpleNamespace(request=lambda *_: out.append(call := next(calls)) or call)
-    made.watch()
+    watch.http_agent = SimpleNamespace(request=lambda *_: calls_made.append(call := next(calls)) or call)
+    watch.watch()
     slow = Response(code)
-    out[0].callback(slow)
+    calls_made[0].callback(slow)
     slow.body.dataReceived(b"{")
     clock.advance(BODY_TIMEOUT_S + 0.01)
-    assert slow.ended and len(out) == 2, "asked again as soon as it is given up"
+    assert slow.closed and len(calls_made) == 2, "not called again as soon as the answer timed out"
     long = Response(code)
-    out[1].callback(long)
+    calls_made[1].callback(long)
     for _ in range(MAX_LIST_BYTES // 65_536 + 1):
-        assert not long.ended
+        assert not long.closed
         long.body.dataReceived(bytes(65_536))
-    assert long.ended and not long.body.parts, "nothing of it is kept"
-    while len(out) == 2 and clock.seconds() < 9:
+    assert long.closed and not long.body.parts, "parts of the answer are kept"
+    while len(calls_made) == 2 and clock.seconds() < 9:
         clock.advance(0.05)
-    assert len(out) == 3 and told == [], "discovery is there"
+    assert len(calls_made) == 3 and reported == [], "discovery counted as lost"
     assert "exceeds the size limit of a list" in caplog.text
     whole = Response()
-    out[2].callback(whole)
+    calls_made[2].callback(whole)
     whole.body.dataReceived(b'{"index":3,"endpoints":[]}')
     whole.body.connectionLost(Failure(ResponseDone()))
-    assert told == [api.MembershipKind.FULL] and made.index == 3
+    assert reported == [api.MembershipKind.FULL] and watch.index == 3
 
 
 def test_settings_without_a_window_or_with_a_long_span_give_calls_that_can_be_answered():
-    # Guards against an agent that is asked without a pause, and against waits that discovery does not take.
+    # An agent must not be called without a pause, and a wait must not be longer than discovery accepts.
     agent = WatchTimes(True, 0.0, 0.0, 0.0)
     assert agent.timeout(0.0) > 0.05 and agent.retry_pause(0.0) > 0.02
-    assert max(WatchTimes(False, 600.0, 90.0, place / 9).wait_time(7.0) for place in range(9)) <= 60.0
+    assert max(WatchTimes(False, 600.0, 90.0, phase / 9).wait_time(7.0) for phase in range(9)) <= 60.0
 
 
 def test_the_reason_of_a_failed_call_is_one_line_however_it_is_wrapped(caplog: pytest.LogCaptureFixture) -> None:
-    # Guards against a log line with the traceback of an ordinary broken connection in it.
+    # An ordinary broken connection must not put a traceback into the log line.
     inner = Failure(ConnectionDone("closed\ncleanly"))
     for wrapped in (inner, Failure(ConnectError(string=inner)), Failure(ResponseNeverReceived([inner]))):
-        told = discovery_watch._failure_reason(wrapped)
-        assert "closed cleanly" in told and "Failure" not in told and "\n" not in told
+        reason = discovery_watch._failure_reason(wrapped)
+        assert "closed cleanly" in reason and "Failure" not in reason and "\n" not in reason
