--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,7 +18,7 @@
 from scaledeal.net.fault_log import GOOD_VALUES_TO_RECOVER, MAX_FAULTY_SERVERS, MAX_NAMED_SERVERS
 from scaledeal.net.load_lines import MAX_VALUE
 from scaledeal.net.load_reports import LoadReports
-from scaledeal.net.roster import REMEMBERED, Calendar, Catalog, Endpoint, Roster
+from scaledeal.net.roster import MAX_SERVER_RECORDS, Catalog, Endpoint, Roster, UnixTimeConverter
 
 NOW_S = 5_000.0  # seconds since 1970; the driver's clock is 4,000 s behind
 EARLY_START_MS = 4_990_000.0  # Unix time
@@ -32,7 +32,7 @@
     """A catalog that reads one list after another, a second apart."""
 
     def __init__(self) -> None:
-        self.catalog, self.now_s = Catalog((), Calendar((1000 - 5000) * 1000 * MS)), NOW_S - 1
+        self.catalog, self.now_s = Catalog((), UnixTimeConverter((1000 - 5000) * 1000 * MS)), NOW_S - 1
 
     def read(self, *entries: dict[str, Any]) -> dict[str, api.ServerEntry]:
         self.now_s += 1
@@ -113,7 +113,7 @@
     assert [(listed["s"].weight, listed["new"].weight) for listed in lists] == [(3.5, 1.0)] * 3
     reader.read({"weight": 2.0}, {"name": "new", "weight": 1.0})
     lines = [record.getMessage() for record in caplog.records]
-    fault = "discovery list: a weight that can't be"
+    fault = "discovery list: an invalid weight"
     bad_lines = [f"{fault}, not taken: {name} ({bad:g})" for name in ("new", "s")]
     assert lines == [*bad_lines, f"{fault}: no more, after 5"]
 
@@ -123,7 +123,7 @@
     # Dialling such an address raises an exception, and the client would get no answer until its deadline.
     reader = ListReader()
     reader.read({"address": bad}, {"name": "a", "address": ""})
-    assert reader.addresses == {} and caplog.text.count("an address that can't be, not taken: s") == 1
+    assert reader.addresses == {} and caplog.text.count("an invalid address, not taken: s") == 1
 
 
 def test_a_run_of_faults_is_logged_once_and_the_memory_of_faults_is_bounded(caplog):
@@ -131,8 +131,8 @@
     reader = ListReader()
     for first in range(0, 3 * MAX_FAULTY_SERVERS, MAX_FAULTY_SERVERS):
         reader.read(*({"name": f"s{number}", "weight": 0} for number in range(first, first + MAX_FAULTY_SERVERS)))
-    weights = reader.catalog.faults["discovery list: a weight that can't be"]
-    assert len(weights.faulty) == MAX_FAULTY_SERVERS and len(reader.catalog.taken) == REMEMBERED
+    weights = reader.catalog.faults["discovery list: an invalid weight"]
+    assert len(weights.faulty) == MAX_FAULTY_SERVERS and len(reader.catalog.records) == MAX_SERVER_RECORDS
     lines = [record.getMessage() for record in caplog.records]
     assert len(lines) == 3 and all(f"and {MAX_FAULTY_SERVERS - MAX_NAMED_SERVERS} more" in line for line in lines)
 
