--- a/tests/netfakes.py
+++ b/tests/netfakes.py
@@ -226,7 +226,7 @@
 class Bench:
     """A driver with its admission, probes and user agents, on the fake reactor and a scripted module."""
 
-    def __init__(self) -> None:
+    def __init__(self, descriptors: int = 256) -> None:
         self.reactor = FakeReactor()
         self.reactor.advance(1000)  # times of 0 mean "never" in the code under test
         self.pool = BufferPool()
@@ -236,7 +236,7 @@
         context = AttemptContext(
             self.reactor, self.pool, self.driver.now, report_reader(("fail_rate", "rif", "x0")), 250 * MS
         )
-        self.admission = Admission(self.reactor, 256, self.driver.now)
+        self.admission = Admission(self.reactor, descriptors, self.driver.now)
         self.probes = HealthProbes(context, 5000 * MS, self.driver.post, self.admission.probe_allowance)
         self.admission.probe_connections, self.admission.limit_probes = (
             self.probes.connection_count,
--- a/tests/test_carry_model.py
+++ b/tests/test_carry_model.py
@@ -11,6 +11,7 @@
 from twisted.internet import error
 
 from scaledeal import interface as api
+from scaledeal.net.buffers import MAX_LINE_BYTES
 from scaledeal.net.carry import CONNECTIONS_PER_ROUND, Carrier, resume
 from scaledeal.net.handover import HandedConnection
 
@@ -41,6 +42,11 @@
     return client, server
 
 
+def is_within_limit(sent: bytes) -> bool:
+    """Return whether the line that ``sent`` ends in may go on; a relay closes a connection with a longer one."""
+    return len(sent.rpartition(b"\r\n")[2]) < MAX_LINE_BYTES
+
+
 class HandedOver(RuleBasedStateMachine):
     """Both sides send lines in pieces; at any time a new process may take over, or die while it does."""
 
@@ -61,7 +67,7 @@
 
     @rule(chunk=CHUNKS, late=st.booleans())
     def client_sends(self, chunk: bytes, late: bool) -> None:
-        if not self.over and not self.client.paused:
+        if not self.over and not self.client.paused and is_within_limit(self.client_sent + chunk):
             self.client_sent += chunk
             self.client.receive(chunk)
             if not late:
@@ -69,7 +75,7 @@
 
     @rule(chunk=CHUNKS, late=st.booleans())
     def server_sends(self, chunk: bytes, late: bool) -> None:
-        if not self.over and not self.server.paused:
+        if not self.over and not self.server.paused and is_within_limit(self.server_sent + chunk):
             self.server_sent += chunk
             self.server.receive(chunk)
             if not late:
--- a/tests/test_quic_checker.py
+++ b/tests/test_quic_checker.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from test_quic_router import HELLO
+from test_quic_router import CLIENT_HELLO as CLIENT_HELLO_MESSAGE
 
 from scaledeal.lab.quic.checker import TrafficRecord
 from scaledeal.quic.wire import frames
@@ -20,7 +20,10 @@
     return encode_initial(InitialKeys(V1, DCID).server, V1, b"client", scid, 0, payload)
 
 
-CLIENT_HELLO, CLIENT_CLOSE = from_client(frames.encode_crypto(0, HELLO)), from_client(frames.encode_connection_close(0))
+CLIENT_HELLO, CLIENT_CLOSE = (
+    from_client(frames.encode_crypto(0, CLIENT_HELLO_MESSAGE)),
+    from_client(frames.encode_connection_close(0)),
+)
 
 
 def test_attempt_violations() -> None:
--- a/tests/test_service_model.py
+++ b/tests/test_service_model.py
@@ -16,6 +16,10 @@
 
 END_MOVES_END_S = 3.1  # after the call of ``end`` in this model
 
+STEPS = 20
+MAX_CLIENTS_PER_STEP = 12
+DESCRIPTORS = 2 * STEPS * MAX_CLIENTS_PER_STEP + 100  # two for each client, and what the relay reserves
+
 
 def establish(bench: Bench, number: int) -> Wire:
     """Establish the connection of a new client, and return the client's wire."""
@@ -33,7 +37,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.bench = Bench()
+        self.bench = Bench(DESCRIPTORS)
         self.service = self.bench.service
         self.stage, self.called_at, self.moves_end = Stage.SERVING, 0.0, 0.0
         self.clients: list[Wire] = []
@@ -42,7 +46,7 @@
     def moved_clients(self) -> int:
         return sum(b"MOVE" in client.lines() for client in self.clients)
 
-    @rule(count=st.integers(1, 12))
+    @rule(count=st.integers(1, MAX_CLIENTS_PER_STEP))
     def clients_come(self, count: int) -> None:
         for _ in range(count):
             self.clients.append(establish(self.bench, len(self.clients)))
@@ -106,7 +110,7 @@
 
 
 def test_draining_rejoining_and_ending_in_any_order():
-    run_state_machine_as_test(ServiceModel, settings=settings(max_examples=60, stateful_step_count=20))
+    run_state_machine_as_test(ServiceModel, settings=settings(max_examples=60, stateful_step_count=STEPS))
 
 
 def test_moves_are_spread_over_the_drain_and_rejoin_cancels_the_rest():
