--- a/tests/shimmed_relay.py
+++ b/tests/shimmed_relay.py
@@ -20,9 +20,9 @@
         self.faults.set_failure_share(Call.SOCKET, socket_failure_share)
         super().__init__(folder)
 
-    def run(self) -> None:
+    def start(self) -> None:
         self.env |= self.faults.environment()
-        super().run()
+        super().start()
 
 
 @contextmanager
--- a/tests/test_connection_crossings.py
+++ b/tests/test_connection_crossings.py
@@ -447,7 +447,7 @@
     for step in range(300):
         if step == reload_at:
             one.relay.reload()
-            assert one.relay.stopped or ":10/" in one.relay.discovery.base and one.relay.discovery.asked, (
+            assert one.relay.stopped or ":10/" in one.relay.discovery.url and one.relay.discovery.call, (
                 "the new discovery was not called"
             )
         if step in (4, 8, 12, 16):  # connecting, sending, waiting, established at the time of the next
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -12,7 +12,7 @@
 import pytest
 from netfakes import OneRelay
 from shimmed_relay import ShimmedRelay, shimmed_relay
-from test_relay_process import ask
+from test_relay_process import open_line
 from twisted.internet.protocol import ServerFactory
 
 from scaledeal.lab.soak.shim import Call
@@ -36,8 +36,8 @@
 def test_every_request_is_answered_while_a_call_fails(failing: ShimmedRelay, call: Call) -> None:
     failing.faults.set_failure_share(call, FAILING_SHARE)
     for number in range(1, 41):
-        client = failing.client(ask(number))
-        server, first = failing.asked()
+        client = failing.client(open_line(number))
+        server, first = failing.next_request()
         assert f"{number:016x}" in first
         server.send("UP 1")
         assert client.read() == "UP 1"
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -12,7 +12,7 @@
 
 import pytest
 from netfakes import SITE
-from test_relay_process import PATIENCE, ROOT
+from test_relay_process import ROOT, TIMEOUT_S
 
 MAX_SIGNALS = 1000
 SIGNAL_INTERVAL_S = 0.002  # without a pause between signals the process has no time left to exit
@@ -53,7 +53,7 @@
         with suppress(subprocess.TimeoutExpired):
             process.wait(SIGNAL_INTERVAL_S)
             break
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(TIMEOUT_S) == 0
 
 
 def test_a_sigterm_before_the_reactor_runs_ends_the_relay_in_order(tmp_path: Path) -> None:
@@ -62,4 +62,4 @@
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
         process.send_signal(number)
     assert "invariants: none violated" in log_until(process, "stopped:")
-    assert process.wait(PATIENCE) == 0
+    assert process.wait(TIMEOUT_S) == 0
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -9,7 +9,7 @@
 
 import pytest
 from shimmed_relay import ShimmedRelay, shimmed_relay
-from test_relay_process import ask
+from test_relay_process import open_line
 
 HOUR_S = 3600.0
 SILENCE_LIMIT_S = 7.0  # time after which a connection that returns nothing must be over
@@ -25,7 +25,7 @@
 
 
 def test_a_silent_connection_is_closed_in_time_after_a_step_back(stepped: ShimmedRelay) -> None:
-    client, server = stepped.stand()
+    client, server = stepped.establish()
     client.send("M 1")
     assert server.read() == "M 1"
     asked = time.monotonic()
@@ -34,17 +34,17 @@
 
 
 def test_a_deadline_is_kept_after_a_step_back(stepped: ShimmedRelay) -> None:
-    client = stepped.client(ask(wait=1500))
+    client = stepped.client(open_line(wait=1500))
     asked = time.monotonic()
-    server, _ = stepped.servers[0].asked()  # it never answers
+    server, _ = stepped.servers[0].next_request()  # it never answers
     stepped.faults.step_wall_clock(-HOUR_S)
     assert client.read() in ("ERR", "BUSY") and time.monotonic() - asked < 1.5 + LATE_ANSWER_S
     server.close()
 
 
 def test_no_attempt_ends_early_after_a_step_forward(stepped: ShimmedRelay) -> None:
-    client = stepped.client(ask(wait=3000))
-    server, _ = stepped.servers[0].asked()
+    client = stepped.client(open_line(wait=3000))
+    server, _ = stepped.servers[0].next_request()
     stepped.faults.step_wall_clock(HOUR_S)
     assert stepped.call("PING").startswith("ok")  # the relay has run its event loop since the step
     server.send("UP 1")
@@ -53,13 +53,13 @@
 
 @pytest.mark.parametrize("step", [-HOUR_S, HOUR_S])
 def test_a_shutdown_takes_its_usual_time_after_a_step(stepped: ShimmedRelay, step: float) -> None:
-    client, server = stepped.stand()
+    client, server = stepped.establish()
     stepped.process.send_signal(signal.SIGTERM)
     signalled = time.monotonic()
-    stepped.log_line("told to stop")
+    stepped.wait_for_log_line("told to stop")
     stepped.faults.step_wall_clock(step)
-    late = stepped.client(ask(2))  # the front still sends clients for a while
-    other, _ = stepped.asked()
+    late = stepped.client(open_line(2))  # the front still sends clients for a while
+    other, _ = stepped.next_request()
     other.send("UP 2")
     assert late.read() == "UP 2"
     for each in (client, late):
@@ -72,7 +72,7 @@
 def test_a_silent_watch_is_reopened_in_time_after_a_step(stepped: ShimmedRelay, step: float) -> None:
     silent, since = stepped.watch, time.monotonic()
     stepped.faults.step_wall_clock(step)
-    reopened, query = stepped.next_watch(stepped.discovery.accept())
+    reopened, query = stepped.read_call(stepped.discovery.accept())
     assert "wait_ms" in query and time.monotonic() - since < WATCH_LIMIT_S
     silent.close()
     reopened.close()
